--- a/bench/job_owner.cc
+++ b/bench/job_owner.cc
@@ -51,7 +51,7 @@
   Deployment(int workers, double load)
       : store_(time_), workers_(time_), load_(load) {
     workers_.run_time = [this](const jobs::TaskName& task) {
-      return StepOf(task).estimate;
+      return StepOf(task).run_time_estimate;
     };
     workers_.gang_size = [this](const jobs::TaskName& task) {
       const auto& step = StepOf(task);
@@ -120,12 +120,12 @@
     std::uniform_int_distribution<int> tasks(1, 2 * kind.mean_tasks - 1);
     step.tasks = tasks(random_);
     step.is_gang = kind.is_gang && step.tasks > 1;
-    step.wants_one_rack = step.is_gang && random_() % 10 < 7;
+    step.prefers_single_rack = step.is_gang && random_() % 10 < 7;
     std::uniform_int_distribution<int> doublings(0, 3);
     const int accelerators =
         std::min(1 << doublings(random_), kind.most_accelerators);
     step.needs = {kind.cpu_millis, kind.memory_mb, accelerators};
-    step.estimate = base::Duration(kind.run_ms);
+    step.run_time_estimate = base::Duration(kind.run_ms);
     job.steps.push_back(step);
     jobs_[job.name] = job;
     entry_.Submit(job, [](const jobs::SubmitResult&) {});
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -8,9 +8,9 @@
   return std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-jobs::Room CountedNeeds(const jobs::Step& step) {
+jobs::Resources CountedNeeds(const jobs::Step& step) {
   auto out = step.needs;
-  if (step.fills) out.cpu_millis = 0;
+  if (step.uses_spare_cpu) out.cpu_millis = 0;
   return out;
 }
 
@@ -27,7 +27,7 @@
 void Fleet::Remove(const base::WorkerName& name) {
   const auto it = workers_.find(name);
   if (it == workers_.end()) return;
-  if (it->second.used == jobs::Room{}) {
+  if (it->second.used == jobs::Resources{}) {
     workers_.erase(it);
     return;
   }
@@ -40,17 +40,18 @@
   return it == workers_.end() ? nullptr : &it->second;
 }
 
-void Fleet::Take(const base::WorkerName& name, const jobs::Room& room) {
+void Fleet::Take(const base::WorkerName& name, const jobs::Resources& room) {
   auto& worker = workers_[name];
   worker.name = name;
   worker.used += room;
 }
 
-void Fleet::GiveBack(const base::WorkerName& name, const jobs::Room& room) {
+void Fleet::GiveBack(const base::WorkerName& name,
+                     const jobs::Resources& room) {
   const auto it = workers_.find(name);
   if (it == workers_.end()) return;
   it->second.used -= room;
-  const bool is_unused = it->second.used == jobs::Room{};
+  const bool is_unused = it->second.used == jobs::Resources{};
   if (!it->second.is_known && is_unused) workers_.erase(it);
 }
 
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -18,14 +18,14 @@
   base::RackName rack;
   base::DomainName domain;
   std::vector<std::string> labels;
-  jobs::Room capacity;
+  jobs::Resources capacity;
   /// Of everything that runs there, may run there or is still being stopped.
-  jobs::Room used;
+  jobs::Resources used;
   /// Of what runs there beyond that, as the worker says: tasks that have ended
   /// for the owner, or that it does not know.
-  jobs::Room strays;
+  jobs::Resources strays;
   /// Promised to units that wait for others to be stopped.
-  jobs::Room reserved;
+  jobs::Resources reserved;
   /// Whether anything new may start there.
   bool is_open = false;
   /// Whether it has lately failed a task and ended none well since: what has
@@ -43,7 +43,7 @@
   /// be recorded on a worker before it is heard of.
   bool is_known = false;
 
-  jobs::Room Free() const {
+  jobs::Resources Free() const {
     auto out = capacity;
     out -= used;
     out -= strays;
@@ -58,7 +58,7 @@
 };
 
 /// What a step takes of a worker: one that fills needs no processor of its own.
-jobs::Room CountedNeeds(const jobs::Step& step);
+jobs::Resources CountedNeeds(const jobs::Step& step);
 
 /// The workers of a service and what is taken of each. Pure data: no time, no
 /// I/O.
@@ -81,8 +81,8 @@
   std::map<base::WorkerName, FleetWorker>& workers() { return workers_; }
 
   /// Takes or gives back room, on workers that are not known as well.
-  void Take(const base::WorkerName& name, const jobs::Room& room);
-  void GiveBack(const base::WorkerName& name, const jobs::Room& room);
+  void Take(const base::WorkerName& name, const jobs::Resources& room);
+  void GiveBack(const base::WorkerName& name, const jobs::Resources& room);
 
   /// Adds `n`, which may be negative, to the number of suspect tasks.
   void AddSuspectTasks(const base::WorkerName& name, int n);
--- a/src/dispatch/internal/job_book.h
+++ b/src/dispatch/internal/job_book.h
@@ -100,7 +100,7 @@
   jobs::JobProgress ProgressOf(const JobEntry& job) const;
 
   /// For each queue, jobs none of whose tasks has begun.
-  jobs::WaitingJobs CountWaiting() const;
+  jobs::WaitingJobCounts CountWaiting() const;
 
   /// Steps with units that may be started now.
   const std::set<StepRun*>& ready() const { return ready_; }
@@ -162,7 +162,7 @@
   /// What MembersOn tells; each news of a worker asks for it.
   std::unordered_map<base::WorkerName, std::set<std::pair<Unit*, int>>>
       members_on_;
-  std::array<DirtyJobs, jobs::kParts> dirty_;
+  std::array<DirtyJobs, jobs::kProgressPartitionCount> dirty_;
   std::set<const JobEntry*> unfinished_;
   std::vector<base::JobName> ended_;
 };
--- a/src/dispatch/internal/reclaim.h
+++ b/src/dispatch/internal/reclaim.h
@@ -53,7 +53,7 @@
   struct Stop {
     Unit* unit = nullptr;
     double cost = 0;
-    jobs::Room frees;
+    jobs::Resources frees;
   };
   using Stops = std::vector<Stop>;
   class Search;
--- a/src/dispatch/internal/task_planner.h
+++ b/src/dispatch/internal/task_planner.h
@@ -114,7 +114,7 @@
  private:
   void StartReserved(base::TimePoint now, PlannerDecisions& out);
   ReservationState StateOf(const std::vector<base::WorkerName>& places,
-                           const jobs::Room& needs);
+                           const jobs::Resources& needs);
   void StartReady(StepRun& run, base::TimePoint now, PlannerDecisions& out);
   std::optional<Places> FindSoundPlaces(const Unit& unit, PlaceRequest request,
                                         bool is_starved);
--- a/src/dispatch/job_book.cc
+++ b/src/dispatch/job_book.cc
@@ -12,8 +12,8 @@
 /// only after earlier ones.
 void SetTails(std::deque<StepRun>& runs) {
   for (auto it = runs.rbegin(); it != runs.rend(); ++it) {
-    it->tail += it->step->estimate;
-    for (const int before : it->step->after) {
+    it->tail += it->step->run_time_estimate;
+    for (const int before : it->step->depends_on) {
       auto& tail = runs[static_cast<std::size_t>(before)].tail;
       tail = std::max(tail, it->tail);
     }
@@ -54,7 +54,7 @@
   if (entry) return entry.get();
   entry = std::make_unique<JobEntry>();
   entry->job = std::move(job);
-  entry->part = jobs::PartIndexOf(entry->job->name);
+  entry->part = jobs::ProgressPartitionIndex(entry->job->name);
   entry->known_since = now;
   entry->accepted = now - age;
   entry->row_version = row_version;
@@ -79,7 +79,7 @@
 
 void JobBook::BuildRuns(JobEntry& job, base::TimePoint now) {
   const auto& steps = job.job->steps;
-  const int occurrences = jobs::OccurrencesOf(*job.job);
+  const int occurrences = jobs::OccurrenceCount(*job.job);
   job.runs.resize(static_cast<std::size_t>(occurrences));
   for (int k = 0; k < occurrences; ++k) {
     auto& runs = job.runs[static_cast<std::size_t>(k)];
@@ -89,7 +89,7 @@
       run.occurrence = k;
       run.number = static_cast<int>(i);
       run.step = &steps[i];
-      run.blocked_by = static_cast<int>(steps[i].after.size());
+      run.blocked_by = static_cast<int>(steps[i].depends_on.size());
       run.ready_since = now;
       const int units = steps[i].is_gang ? 1 : steps[i].tasks;
       for (int n = 0; n < units; ++n) {
@@ -99,7 +99,7 @@
         // Of a new owner too: what waited under the last one has waited.
         unit.waiting_since = job.accepted;
       }
-      if (job.job->schedule.times > 0) {
+      if (job.job->schedule.repeat_count > 0) {
         run.due_ms =
             job.job->schedule.first_due_ms + k * job.job->schedule.interval_ms;
         run.is_due = false;
@@ -132,7 +132,7 @@
         FindUnit({job.job->name, record.occurrence, record.step, record.index});
     if (unit == nullptr) continue;
     unit->failures = record.failures;
-    unit->failed_run = record.failed_run;
+    unit->failed_run = record.last_failed_run;
     unit->last_run = record.last_run;
     unit->checkpoint = record.checkpoint;
     unit->losses = record.losses;
@@ -365,7 +365,7 @@
 void JobBook::Unblock(JobEntry& job, int occurrence, int done_step,
                       base::TimePoint now) {
   for (auto& it : job.runs[static_cast<std::size_t>(occurrence)]) {
-    const auto& after = it.step->after;
+    const auto& after = it.step->depends_on;
     const auto n = std::count(after.begin(), after.end(), done_step);
     if (n == 0) continue;
     it.blocked_by -= static_cast<int>(n);
@@ -465,7 +465,7 @@
         // Nothing else is needed of what is done.
         if (!is_done) {
           record.failures = unit.failures;
-          record.failed_run = unit.failed_run;
+          record.last_failed_run = unit.failed_run;
           record.last_run = unit.last_run;
           record.checkpoint = unit.checkpoint;
           record.losses = unit.losses;
@@ -480,8 +480,8 @@
   return out;
 }
 
-jobs::WaitingJobs JobBook::CountWaiting() const {
-  jobs::WaitingJobs out;
+jobs::WaitingJobCounts JobBook::CountWaiting() const {
+  jobs::WaitingJobCounts out;
   for (const auto& [name, it] : jobs_) {
     if (it->state == JobState::kQueued) ++out[it->job->queue];
   }
--- a/src/dispatch/owned_service.cc
+++ b/src/dispatch/owned_service.cc
@@ -56,15 +56,16 @@
 
 void OwnedService::OnLoaded(LoadedService loaded) {
   progress_rows_ = std::move(loaded.progress);
-  const auto parts = jobs::PartsOf(service_);
-  for (int i = 0; i < jobs::kParts; ++i) {
+  const auto parts = jobs::ProgressPartitions(service_);
+  for (int i = 0; i < jobs::kProgressPartitionCount; ++i) {
     const auto index = static_cast<std::size_t>(i);
     recorders_.push_back(std::make_unique<Recorder>(
         ports_.loop, ports_.store, parts[index], i, loaded.fences[index], book_,
         RecorderOptions{},
         [this](const std::string& reason) { Lose(reason); }));
   }
-  counter_.emplace(ports_.loop, ports_.store, jobs::WaitingPartOf(service_),
+  counter_.emplace(ports_.loop, ports_.store,
+                   jobs::WaitingCountsPartition(service_),
                    loaded.fences.front(), book_);
   FollowRequests();
 }
@@ -73,7 +74,7 @@
   const auto weak = weak_from_this();
   requests_.emplace(
       ports_.loop, ports_.store, std::string(jobs::kRequestTable),
-      jobs::RequestPartsOf(service_), options_.lease.follow,
+      jobs::RequestPartitions(service_), options_.lease.follow,
       store::FollowerEvents{
           [weak](const std::vector<StoredRow>& rows, store::RowVersion) {
             if (const auto self = weak.lock()) self->OnAllRequests(rows);
@@ -200,8 +201,9 @@
 }
 
 void OwnedService::RemoveProgress(const base::JobName& name) {
-  const auto part = static_cast<std::size_t>(jobs::PartIndexOf(name));
-  ports_.store.Commit({jobs::PartOf(service_, name),
+  const auto part =
+      static_cast<std::size_t>(jobs::ProgressPartitionIndex(name));
+  ports_.store.Commit({jobs::ProgressPartition(service_, name),
                        {{std::string(kOwnerTable), std::string(kFenceKey),
                          recorders_[part]->fence()}},
                        {},
@@ -215,7 +217,7 @@
 void OwnedService::RemoveRows(const base::JobName& name) {
   const std::string requests(jobs::kRequestTable);
   ports_.store.Commit(
-      {jobs::RequestPartOf(service_, name),
+      {jobs::RequestPartition(service_, name),
        {},
        {},
        {{requests, name.str()},
--- a/src/dispatch/owned_workers.cc
+++ b/src/dispatch/owned_workers.cc
@@ -38,7 +38,7 @@
   const auto* place = fleet_.Find(entry.name);
   if (place == nullptr || !place->is_known) return;
   if (place->capacity == entry.capacity) return;
-  const bool has_shrunk = !entry.capacity.Holds(place->capacity);
+  const bool has_shrunk = !entry.capacity.Covers(place->capacity);
   base::Log(base::events::kCapacityChanged,
             {{"service", service_.str()},
              {"worker", entry.name},
@@ -139,7 +139,7 @@
   auto room = place->capacity;
   room -= place->used;
   room -= place->strays;
-  return room.Holds({});
+  return room.Covers({});
 }
 
 /// Logs what has changed of the evacuations, and has it decided upon.
@@ -221,7 +221,7 @@
                           TimePoint sent) {
   auto* worker = FindWorker(name);
   if (worker == nullptr) return;
-  jobs::Room strays;
+  jobs::Resources strays;
   for (const auto& it : news.running) {
     auto* unit = FindRun(it.task, it.run);
     if (unit != nullptr) {
@@ -353,7 +353,8 @@
     if (unit->is_stopping || unit->phase == jobs::UnitPhase::kDone) continue;
     if (step.is_service) continue;
     const auto share = base::Duration(static_cast<std::int64_t>(
-        options_.stalled_share * static_cast<double>(step.estimate.count())));
+        options_.stalled_share *
+        static_cast<double>(step.run_time_estimate.count())));
     const auto patience = std::max(options_.stalled_after, share);
     std::set<base::WorkerName> still;
     for (const auto& it : unit->members) {
--- a/src/dispatch/placer.cc
+++ b/src/dispatch/placer.cc
@@ -9,12 +9,12 @@
 namespace lapishatch::dispatch {
 namespace {
 
-using jobs::Room;
+using jobs::Resources;
 
 /// A worker that may take tasks of the step.
 struct Candidate {
   const FleetWorker* worker = nullptr;
-  Room room;
+  Resources room;
   /// Tasks of the step that may still be added.
   int tasks_left = 0;
   /// Accelerators that are free on its rack.
@@ -24,13 +24,13 @@
 using Candidates = std::vector<Candidate>;
 
 int TasksLeft(const FleetWorker& worker, const PlaceRequest& request) {
-  if (request.step->most_per_worker == 0) return request.tasks;
+  if (request.step->max_tasks_per_worker == 0) return request.tasks;
   int present = 0;
   if (request.on_worker != nullptr) {
     const auto it = request.on_worker->find(worker.name);
     if (it != request.on_worker->end()) present = it->second;
   }
-  return request.step->most_per_worker - present;
+  return request.step->max_tasks_per_worker - present;
 }
 
 bool IsAllowed(const FleetWorker& worker, const PlaceRequest& request) {
@@ -48,7 +48,7 @@
   const auto needs = CountedNeeds(*request.step);
   open.VisitWithFree(needs.accelerators, [&](const FleetWorker& worker) {
     const auto room = worker.Free();
-    if (!room.Holds(needs) || !IsAllowed(worker, request)) return;
+    if (!room.Covers(needs) || !IsAllowed(worker, request)) return;
     const int left = TasksLeft(worker, request);
     if (left > 0) out.push_back({&worker, room, left, open.FreeOnRack(worker)});
   });
@@ -56,7 +56,7 @@
 }
 
 /// How many tasks of `needs` a room holds, `most` at most.
-int CountIn(const Room& room, const Room& needs, int most) {
+int CountIn(const Resources& room, const Resources& needs, int most) {
   const auto fit = [](std::int64_t has, std::int64_t takes) {
     return takes > 0 ? has / takes : std::numeric_limits<std::int64_t>::max();
   };
@@ -150,7 +150,7 @@
   const auto needs = CountedNeeds(*request.step);
   const auto& step = *request.step;
   const int most =
-      step.most_per_worker > 0 ? step.most_per_worker : request.tasks;
+      step.max_tasks_per_worker > 0 ? step.max_tasks_per_worker : request.tasks;
   int out = 0;
   for (const auto* it : workers) {
     const auto& label = step.required_label;
@@ -164,7 +164,8 @@
 }  // namespace
 
 bool HasSlowPlaces(const jobs::Step& step) {
-  return !step.preferred_rack.empty() || (step.is_gang && step.wants_one_rack);
+  return !step.preferred_rack.empty() ||
+         (step.is_gang && step.prefers_single_rack);
 }
 
 std::optional<Places> FindPlaces(OpenWorkers& open,
@@ -175,7 +176,7 @@
     auto places = Fill(OnRack(candidates, step.preferred_rack), request);
     if (places || !request.accepts_slow) return places;
   }
-  if (step.is_gang && step.wants_one_rack) {
+  if (step.is_gang && step.prefers_single_rack) {
     auto places = FillOneRack(candidates, request);
     if (places || !request.accepts_slow) return places;
   }
@@ -192,7 +193,7 @@
     const auto it = racks.find(step.preferred_rack);
     return it != racks.end() && fits(it->second);
   }
-  if (step.is_gang && step.wants_one_rack) {
+  if (step.is_gang && step.prefers_single_rack) {
     return std::any_of(racks.begin(), racks.end(),
                        [&fits](const auto& it) { return fits(it.second); });
   }
--- a/src/dispatch/reclaim.cc
+++ b/src/dispatch/reclaim.cc
@@ -7,7 +7,7 @@
 namespace lapishatch::dispatch::internal {
 namespace {
 
-using jobs::Room;
+using jobs::Resources;
 
 /// What stopping a unit costs now.
 double CostOf(const Unit& unit, double cost) {
@@ -46,7 +46,7 @@
   struct Site {
     const FleetWorker* worker = nullptr;
     const Stops* stops = nullptr;
-    Room room;
+    Resources room;
     int tasks_left = 0;
     /// Stops before this one are made for tasks of the plan.
     std::size_t next = 0;
@@ -64,10 +64,10 @@
     const auto& label = step.required_label;
     if (!label.empty() && !worker.HasLabel(label)) return;
     int left = run_.TasksPerUnit();
-    if (step.most_per_worker > 0) {
+    if (step.max_tasks_per_worker > 0) {
       const auto it = run_.on_worker.find(worker.name);
       const int present = it == run_.on_worker.end() ? 0 : it->second;
-      left = step.most_per_worker - present;
+      left = step.max_tasks_per_worker - present;
     }
     Site site;
     site.worker = &worker;
@@ -85,7 +85,7 @@
     auto room = site.room;
     site.cost = 0;
     site.end = site.next;
-    while (!room.Holds(needs_) && site.end < site.stops->size()) {
+    while (!room.Covers(needs_) && site.end < site.stops->size()) {
       const auto& stop = (*site.stops)[site.end++];
       if (!MayStop(*stop.unit)) continue;
       room += stop.frees;
@@ -93,7 +93,7 @@
         site.cost += CostOf(*stop.unit, stop.cost);
       }
     }
-    site.is_offered = room.Holds(needs_);
+    site.is_offered = room.Covers(needs_);
   }
 
   void Take(Site& site, ReclaimPlan& plan) {
@@ -117,7 +117,7 @@
   }
 
   const StepRun& run_;
-  const Room needs_;
+  const Resources needs_;
   std::vector<Site> sites_;
   std::set<const Unit*> stopped_;
 };
@@ -131,7 +131,7 @@
       if (member.state == MemberState::kOver) continue;
       auto& stops = stops_[member.worker];
       const bool is_there = !stops.empty() && stops.back().unit == victim.unit;
-      if (!is_there) stops.push_back({victim.unit, victim.cost, Room{}});
+      if (!is_there) stops.push_back({victim.unit, victim.cost, Resources{}});
       stops.back().frees += needs;
     }
   }
--- a/src/dispatch/service_loader.cc
+++ b/src/dispatch/service_loader.cc
@@ -29,7 +29,7 @@
        std::function<void(const std::string&)> on_lost)
       : loop_(loop),
         store_(store),
-        parts_(jobs::PartsOf(service)),
+        parts_(jobs::ProgressPartitions(service)),
         epoch_(epoch),
         on_loaded_(std::move(on_loaded)),
         on_lost_(std::move(on_lost)),
--- a/src/dispatch/task_planner.cc
+++ b/src/dispatch/task_planner.cc
@@ -13,7 +13,7 @@
 namespace lapishatch::dispatch::internal {
 namespace {
 
-using jobs::Room;
+using jobs::Resources;
 using jobs::UnitPhase;
 
 PlaceRequest RequestFor(const StepRun& run, bool accepts_slow) {
@@ -48,7 +48,7 @@
 /// Core-seconds that a unit takes by its estimate.
 double WorkOf(const StepRun& run) {
   return CoresOf(*run.step) * run.TasksPerUnit() *
-         SecondsOf(run.step->estimate);
+         SecondsOf(run.step->run_time_estimate);
 }
 
 /// Core-seconds since a unit's last checkpoint.
@@ -204,14 +204,14 @@
 }
 
 ReservationState TaskPlanner::StateOf(
-    const std::vector<base::WorkerName>& places, const Room& needs) {
-  std::map<base::WorkerName, Room> wanted;
+    const std::vector<base::WorkerName>& places, const Resources& needs) {
+  std::map<base::WorkerName, Resources> wanted;
   for (const auto& it : places) wanted[it] += needs;
   bool is_free = true;
   for (const auto& [name, room] : wanted) {
     const auto* worker = fleet_.Find(name);
     if (worker == nullptr || !worker->is_open) return ReservationState::kGone;
-    is_free = is_free && worker->Free().Holds(room);
+    is_free = is_free && worker->Free().Covers(room);
   }
   return is_free ? ReservationState::kFree : ReservationState::kTaken;
 }
@@ -261,7 +261,7 @@
     if (!is_starved && MustLeaveHeadroom(run, now)) return;
     const auto patience = base::Duration(static_cast<std::int64_t>(
         options_.slow_place_after *
-        static_cast<double>(run.step->estimate.count())));
+        static_cast<double>(run.step->run_time_estimate.count())));
     auto request = RequestFor(run, waited >= patience);
     const bool is_suspect = IsSuspect(unit.losses);
     request.is_suspect = is_suspect && waited < options_.suspect_wait;
@@ -392,7 +392,7 @@
   std::optional<ReclaimPlan> best;
   if (!step.preferred_rack.empty()) {
     best = board.FindOn(*unit.step, step.preferred_rack);
-  } else if (step.is_gang && step.wants_one_rack) {
+  } else if (step.is_gang && step.prefers_single_rack) {
     best = board.FindOnOneRack(*unit.step);
   } else {
     best = board.FindAnywhere(*unit.step);
--- a/src/dispatch/waiting_counter.cc
+++ b/src/dispatch/waiting_counter.cc
@@ -28,10 +28,10 @@
         book_(book) {}
 
   void Tick() {
-    const auto counts = jobs::EncodeWaiting(book_.CountWaiting());
+    const auto counts = jobs::EncodeWaitingCounts(book_.CountWaiting());
     if (counts == written_) return Again();
-    const std::string table(jobs::kWaitingTable);
-    const std::string key(jobs::kWaitingKey);
+    const std::string table(jobs::kWaitingCountsTable);
+    const std::string key(jobs::kWaitingCountsKey);
     store_.Commit({part_,
                    {{std::string(kOwnerTable), std::string(kFenceKey), fence_},
                     {table, key, version_}},
@@ -52,7 +52,8 @@
     if (const auto* conflict = std::get_if<RowsConflict>(&result)) {
       version_ = store::kAbsent;
       for (const auto& it : conflict->present) {
-        if (it.address.table == jobs::kWaitingTable) version_ = it.version;
+        if (it.address.table == jobs::kWaitingCountsTable)
+          version_ = it.version;
       }
     }
     Again();
--- a/src/dispatch/worker_drain.cc
+++ b/src/dispatch/worker_drain.cc
@@ -31,7 +31,7 @@
 base::Duration WorkLeft(const Unit& unit, const Member& member,
                         base::TimePoint now) {
   const auto zero = base::Duration(0);
-  const auto estimate = unit.step->step->estimate;
+  const auto estimate = unit.step->step->run_time_estimate;
   if (member.last_progress == base::TimePoint{}) {
     return std::max(zero, estimate - (now - unit.started));
   }
--- a/src/dispatch/worker_port.h
+++ b/src/dispatch/worker_port.h
@@ -31,7 +31,7 @@
   base::DomainName domain;
   base::RackName rack;
   std::vector<std::string> labels;
-  jobs::Room capacity;
+  jobs::Resources capacity;
   /// About to leave: what runs there may go on for a while, nothing new starts.
   bool is_draining = false;
   /// While draining: it stays at least so much longer.
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -12,53 +12,53 @@
 using QueueName = base::Id<struct QueueTag>;
 
 /// What a task takes of a worker, and what a worker has.
-struct Room {
+struct Resources {
   /// Thousandths of a core.
   std::int64_t cpu_millis = 0;
   std::int64_t memory_mb = 0;
   std::int64_t accelerators = 0;
 
   /// Whether `needs` fits in here.
-  bool Holds(const Room& needs) const {
+  bool Covers(const Resources& needs) const {
     return cpu_millis >= needs.cpu_millis && memory_mb >= needs.memory_mb &&
            accelerators >= needs.accelerators;
   }
 
-  Room& operator+=(const Room& other) {
+  Resources& operator+=(const Resources& other) {
     cpu_millis += other.cpu_millis;
     memory_mb += other.memory_mb;
     accelerators += other.accelerators;
     return *this;
   }
 
-  Room& operator-=(const Room& other) {
+  Resources& operator-=(const Resources& other) {
     cpu_millis -= other.cpu_millis;
     memory_mb -= other.memory_mb;
     accelerators -= other.accelerators;
     return *this;
   }
 
-  friend bool operator==(const Room&, const Room&) = default;
+  friend bool operator==(const Resources&, const Resources&) = default;
 };
 
 /// Some tasks alike, which may begin once all tasks of the steps before have
 /// ended well.
 struct Step {
   int tasks = 1;
-  Room needs;
+  Resources needs;
   /// The submitter's guess of one task's run time.
-  base::Duration estimate{0};
+  base::Duration run_time_estimate{0};
   /// Numbers of earlier steps.
-  std::vector<int> after;
+  std::vector<int> depends_on;
   /// Tasks save what they did from time to time and can go on from there.
-  bool has_checkpoints = false;
+  bool supports_checkpoints = false;
   /// All tasks run at the same time or none does; the end of one is the end of
   /// all.
   bool is_gang = false;
   /// A gang that is spread over racks is several times as slow.
-  bool wants_one_rack = false;
+  bool prefers_single_rack = false;
   /// Several copies of a task may run; the first end counts.
-  bool allows_copies = false;
+  bool allows_speculative_copies = false;
   /// Runs until the job is cancelled; started again however it ends.
   bool is_service = false;
   /// Workers without it may not run the step; empty for any.
@@ -66,16 +66,16 @@
   /// Elsewhere the tasks are several times as slow; empty for none.
   base::RackName preferred_rack;
   /// Most tasks of the step on one worker at a time; 0 for no limit.
-  int most_per_worker = 0;
+  int max_tasks_per_worker = 0;
   /// Runs beside others in what they leave: its processor need is not counted.
-  bool fills = false;
+  bool uses_spare_cpu = false;
 
   friend bool operator==(const Step&, const Step&) = default;
 };
 
 /// When the steps run: once at once, or `times` times from `first_due_ms` on.
 struct Schedule {
-  int times = 0;
+  int repeat_count = 0;
   /// Milliseconds since 1970.
   std::int64_t first_due_ms = 0;
   std::int64_t interval_ms = 0;
@@ -109,8 +109,8 @@
 };
 
 /// A job's occurrences: a job without a schedule has one.
-inline int OccurrencesOf(const Job& job) {
-  return job.schedule.times > 0 ? job.schedule.times : 1;
+inline int OccurrenceCount(const Job& job) {
+  return job.schedule.repeat_count > 0 ? job.schedule.repeat_count : 1;
 }
 
 /// Names one task. The text is "job/occurrence/step/index".
--- a/src/jobs/job_rows.cc
+++ b/src/jobs/job_rows.cc
@@ -63,19 +63,20 @@
   out["cpu"] = step.needs.cpu_millis;
   out["memory"] = step.needs.memory_mb;
   out["accelerators"] = step.needs.accelerators;
-  out["estimate"] = step.estimate.count();
-  if (!step.after.empty()) {
-    out["after"] = json::array(step.after.begin(), step.after.end());
+  out["estimate"] = step.run_time_estimate.count();
+  if (!step.depends_on.empty()) {
+    out["after"] = json::array(step.depends_on.begin(), step.depends_on.end());
   }
-  if (step.has_checkpoints) out["checkpoints"] = true;
+  if (step.supports_checkpoints) out["checkpoints"] = true;
   if (step.is_gang) out["gang"] = true;
-  if (step.wants_one_rack) out["one_rack"] = true;
-  if (step.allows_copies) out["copies"] = true;
+  if (step.prefers_single_rack) out["one_rack"] = true;
+  if (step.allows_speculative_copies) out["copies"] = true;
   if (step.is_service) out["service"] = true;
   if (!step.required_label.empty()) out["label"] = step.required_label;
   if (!step.preferred_rack.empty()) out["rack"] = step.preferred_rack.str();
-  if (step.most_per_worker > 0) out["per_worker"] = step.most_per_worker;
-  if (step.fills) out["fills"] = true;
+  if (step.max_tasks_per_worker > 0)
+    out["per_worker"] = step.max_tasks_per_worker;
+  if (step.uses_spare_cpu) out["fills"] = true;
   return out;
 }
 
@@ -85,19 +86,19 @@
   out.tasks = static_cast<int>(reader.Number("tasks"));
   out.needs = {reader.Number("cpu"), reader.Number("memory"),
                reader.Number("accelerators")};
-  out.estimate = base::Duration(reader.Number("estimate"));
+  out.run_time_estimate = base::Duration(reader.Number("estimate"));
   for (const auto& it : reader.Array("after")) {
-    out.after.push_back(it.to_number<int>());
+    out.depends_on.push_back(it.to_number<int>());
   }
-  out.has_checkpoints = reader.Flag("checkpoints");
+  out.supports_checkpoints = reader.Flag("checkpoints");
   out.is_gang = reader.Flag("gang");
-  out.wants_one_rack = reader.Flag("one_rack");
-  out.allows_copies = reader.Flag("copies");
+  out.prefers_single_rack = reader.Flag("one_rack");
+  out.allows_speculative_copies = reader.Flag("copies");
   out.is_service = reader.Flag("service");
   out.required_label = reader.String("label");
   out.preferred_rack = base::RackName(reader.String("rack"));
-  out.most_per_worker = static_cast<int>(reader.Number("per_worker"));
-  out.fills = reader.Flag("fills");
+  out.max_tasks_per_worker = static_cast<int>(reader.Number("per_worker"));
+  out.uses_spare_cpu = reader.Flag("fills");
   return out;
 }
 
@@ -106,10 +107,10 @@
 /// checkpoint, workers, and, if there are any, worker losses as member, count
 /// and suspicion for each task.
 json::array EncodeUnit(const UnitRecord& unit) {
-  json::array out{unit.occurrence, unit.step,
-                  unit.index,      static_cast<int>(unit.phase),
-                  unit.last_run,   unit.failures,
-                  unit.failed_run};
+  json::array out{unit.occurrence,     unit.step,
+                  unit.index,          static_cast<int>(unit.phase),
+                  unit.last_run,       unit.failures,
+                  unit.last_failed_run};
   out.emplace_back(unit.checkpoint);
   json::array workers;
   for (const auto& it : unit.workers) workers.emplace_back(it.str());
@@ -186,7 +187,7 @@
   out.phase = static_cast<UnitPhase>(fields.at(3).to_number<int>());
   out.last_run = fields.at(4).to_number<int>();
   out.failures = fields.at(5).to_number<int>();
-  out.failed_run = fields.at(6).to_number<int>();
+  out.last_failed_run = fields.at(6).to_number<int>();
   constexpr std::size_t kWithWorkers = 9;
   if (fields.size() < kWithWorkers) return out;
   out.checkpoint = Text(fields.at(7).as_string());
@@ -234,29 +235,31 @@
 
 }  // namespace
 
-int PartIndexOf(const base::JobName& job) {
-  return static_cast<int>(HashOf(job) % kParts);
+int ProgressPartitionIndex(const base::JobName& job) {
+  return static_cast<int>(HashOf(job) % kProgressPartitionCount);
 }
 
-std::string PartOf(const base::ServiceName& service, const base::JobName& job) {
-  return service.str() + '.' + std::to_string(PartIndexOf(job));
+std::string ProgressPartition(const base::ServiceName& service,
+                              const base::JobName& job) {
+  return service.str() + '.' + std::to_string(ProgressPartitionIndex(job));
 }
 
-std::vector<std::string> PartsOf(const base::ServiceName& service) {
-  return NumberedParts(service.str() + '.', kParts);
+std::vector<std::string> ProgressPartitions(const base::ServiceName& service) {
+  return NumberedParts(service.str() + '.', kProgressPartitionCount);
 }
 
-std::string RequestPartOf(const base::ServiceName& service,
-                          const base::JobName& job) {
-  return RequestPrefix(service) + std::to_string(HashOf(job) % kRequestParts);
+std::string RequestPartition(const base::ServiceName& service,
+                             const base::JobName& job) {
+  return RequestPrefix(service) +
+         std::to_string(HashOf(job) % kRequestPartitionCount);
 }
 
-std::vector<std::string> RequestPartsOf(const base::ServiceName& service) {
-  return NumberedParts(RequestPrefix(service), kRequestParts);
+std::vector<std::string> RequestPartitions(const base::ServiceName& service) {
+  return NumberedParts(RequestPrefix(service), kRequestPartitionCount);
 }
 
-std::string WaitingPartOf(const base::ServiceName& service) {
-  return PartsOf(service).front();
+std::string WaitingCountsPartition(const base::ServiceName& service) {
+  return ProgressPartitions(service).front();
 }
 
 std::string EncodeJob(const Job& job) {
@@ -266,8 +269,8 @@
   json::array steps;
   for (const auto& it : job.steps) steps.push_back(Encode(it));
   out["steps"] = std::move(steps);
-  if (job.schedule.times > 0) {
-    out["times"] = job.schedule.times;
+  if (job.schedule.repeat_count > 0) {
+    out["times"] = job.schedule.repeat_count;
     out["first_due"] = job.schedule.first_due_ms;
     out["interval"] = job.schedule.interval_ms;
   }
@@ -342,15 +345,15 @@
   });
 }
 
-std::string EncodeWaiting(const WaitingJobs& waiting) {
+std::string EncodeWaitingCounts(const WaitingJobCounts& waiting) {
   json::object out;
   for (const auto& [queue, n] : waiting) out[queue.str()] = n;
   return json::serialize(out);
 }
 
-std::optional<WaitingJobs> DecodeWaiting(std::string_view text) {
+std::optional<WaitingJobCounts> DecodeWaitingCounts(std::string_view text) {
   return Decode(text, [](const json::object& object) {
-    WaitingJobs out;
+    WaitingJobCounts out;
     for (const auto& it : object) {
       const std::string name(it.key().data(), it.key().size());
       out[QueueName(name)] = it.value().to_number<int>();
--- a/src/jobs/job_rows.h
+++ b/src/jobs/job_rows.h
@@ -19,39 +19,40 @@
 ///
 /// | table | part | key | written by |
 /// | --- | --- | --- | --- |
-/// | requests | of RequestPartsOf | job | the entry that accepts it, once |
+/// | requests | of RequestPartitions | job | the entry that accepts it, once |
 /// | requests | the same | job + kCancelSuffix | the entry that cancels it |
-/// | progress | of PartsOf | job | the owner |
-/// | waiting | WaitingPartOf | kWaitingKey | the owner |
+/// | progress | of ProgressPartitions | job | the owner |
+/// | waiting | WaitingCountsPartition | kWaitingCountsKey | the owner |
 inline constexpr std::string_view kRequestTable = "requests";
 inline constexpr std::string_view kProgressTable = "progress";
-inline constexpr std::string_view kWaitingTable = "waiting";
+inline constexpr std::string_view kWaitingCountsTable = "waiting";
 inline constexpr std::string_view kCancelSuffix = "/cancel";
-inline constexpr std::string_view kWaitingKey = "jobs";
+inline constexpr std::string_view kWaitingCountsKey = "jobs";
 
-inline constexpr int kParts = 8;
+inline constexpr int kProgressPartitionCount = 8;
 
 /// Many, since a slow store takes most of a second for each transaction and
 /// every job that is accepted is one.
-inline constexpr int kRequestParts = 64;
+inline constexpr int kRequestPartitionCount = 64;
 
 /// The part of a job's progress.
-std::string PartOf(const base::ServiceName& service, const base::JobName& job);
+std::string ProgressPartition(const base::ServiceName& service,
+                              const base::JobName& job);
 
 /// All parts with progress of a service, in order.
-std::vector<std::string> PartsOf(const base::ServiceName& service);
+std::vector<std::string> ProgressPartitions(const base::ServiceName& service);
 
-/// The index in PartsOf of a job's part.
-int PartIndexOf(const base::JobName& job);
+/// The index in ProgressPartitions of a job's part.
+int ProgressPartitionIndex(const base::JobName& job);
 
 /// The part of a job's request and of its cancelling, and all of them.
-std::string RequestPartOf(const base::ServiceName& service,
-                          const base::JobName& job);
-std::vector<std::string> RequestPartsOf(const base::ServiceName& service);
+std::string RequestPartition(const base::ServiceName& service,
+                             const base::JobName& job);
+std::vector<std::string> RequestPartitions(const base::ServiceName& service);
 
 /// The part of the counts of waiting jobs. It is not that of the owner's lease,
 /// whose renewals must not wait for anything else.
-std::string WaitingPartOf(const base::ServiceName& service);
+std::string WaitingCountsPartition(const base::ServiceName& service);
 
 /// The rows' values: compact JSON. The readers give nothing for a text that
 /// makes no sense.
@@ -62,9 +63,9 @@
 std::optional<JobProgress> DecodeProgress(std::string_view text);
 
 /// For each queue, how many of its jobs no task of which has begun.
-using WaitingJobs = std::map<QueueName, int>;
-std::string EncodeWaiting(const WaitingJobs& waiting);
-std::optional<WaitingJobs> DecodeWaiting(std::string_view text);
+using WaitingJobCounts = std::map<QueueName, int>;
+std::string EncodeWaitingCounts(const WaitingJobCounts& waiting);
+std::optional<WaitingJobCounts> DecodeWaitingCounts(std::string_view text);
 
 }  // namespace lapishatch::jobs
 
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -29,7 +29,7 @@
 
 void JobService::Submit(const Job& job,
                         std::function<void(SubmitResult)> done) {
-  const auto part = RequestPartOf(job.service, job.name);
+  const auto part = RequestPartition(job.service, job.name);
   const std::string table(kRequestTable);
   const auto key = job.name.str();
   store_.Commit({part,
@@ -53,48 +53,50 @@
                                 }
                                 // Not there yet: the write may still take
                                 // effect.
-                                done(JobUnknown{detail});
+                                done(JobOutcomeUnknown{detail});
                               });
                 });
 }
 
-void JobService::State(const base::ServiceName& service,
-                       const base::JobName& name,
-                       const std::function<void(StateResult)>& done) {
+void JobService::ReadState(const base::ServiceName& service,
+                           const base::JobName& name,
+                           const std::function<void(StateResult)>& done) {
   const auto read_request = [this, service, name, done] {
-    store_.Read(OneRow(kRequestTable, RequestPartOf(service, name), name.str()),
-                [done](const RowsReadResult& result) {
-                  if (const auto* failed = std::get_if<ReadFailed>(&result)) {
-                    return done(JobUnavailable{failed->detail});
-                  }
-                  if (std::get<RowsRead>(result).rows.empty()) {
-                    return done(NoSuchJob{});
-                  }
-                  done(JobState::kQueued);
-                });
+    store_.Read(
+        OneRow(kRequestTable, RequestPartition(service, name), name.str()),
+        [done](const RowsReadResult& result) {
+          if (const auto* failed = std::get_if<ReadFailed>(&result)) {
+            return done(JobStoreUnavailable{failed->detail});
+          }
+          if (std::get<RowsRead>(result).rows.empty()) {
+            return done(NoSuchJob{});
+          }
+          done(JobState::kQueued);
+        });
   };
-  store_.Read(OneRow(kProgressTable, PartOf(service, name), name.str()),
-              [done, read_request](const RowsReadResult& result) {
-                if (const auto* failed = std::get_if<ReadFailed>(&result)) {
-                  return done(JobUnavailable{failed->detail});
-                }
-                const auto& rows = std::get<RowsRead>(result).rows;
-                if (rows.empty()) return read_request();
-                const auto progress = DecodeProgress(rows.front().value);
-                if (progress) return done(progress->state);
-                done(JobUnavailable{"unreadable progress"});
-              });
+  store_.Read(
+      OneRow(kProgressTable, ProgressPartition(service, name), name.str()),
+      [done, read_request](const RowsReadResult& result) {
+        if (const auto* failed = std::get_if<ReadFailed>(&result)) {
+          return done(JobStoreUnavailable{failed->detail});
+        }
+        const auto& rows = std::get<RowsRead>(result).rows;
+        if (rows.empty()) return read_request();
+        const auto progress = DecodeProgress(rows.front().value);
+        if (progress) return done(progress->state);
+        done(JobStoreUnavailable{"unreadable progress"});
+      });
 }
 
 void JobService::Cancel(const base::ServiceName& service,
                         const base::JobName& name,
                         std::function<void(CancelResult)> done) {
-  const auto part = RequestPartOf(service, name);
+  const auto part = RequestPartition(service, name);
   store_.Read(
       OneRow(kRequestTable, part, name.str()),
       [this, part, name, done = std::move(done)](RowsReadResult result) {
         if (const auto* failed = std::get_if<ReadFailed>(&result)) {
-          return done(JobUnavailable{failed->detail});
+          return done(JobStoreUnavailable{failed->detail});
         }
         const auto& rows = std::get<RowsRead>(result).rows;
         if (rows.empty()) return done(NoSuchJob{});
@@ -112,28 +114,29 @@
                         if (std::holds_alternative<RowsConflict>(committed)) {
                           return done(NoSuchJob{});
                         }
-                        done(JobUnavailable{"the store did not confirm"});
+                        done(JobStoreUnavailable{"the store did not confirm"});
                       });
       });
 }
 
-void JobService::Waiting(const base::ServiceName& service,
-                         const QueueName& queue,
-                         std::function<void(WaitingResult)> done) {
-  store_.Read(
-      OneRow(kWaitingTable, WaitingPartOf(service), std::string(kWaitingKey)),
-      [queue, done = std::move(done)](const RowsReadResult& result) {
-        if (const auto* failed = std::get_if<ReadFailed>(&result)) {
-          return done(JobUnavailable{failed->detail});
-        }
-        const auto& rows = std::get<RowsRead>(result).rows;
-        // Before the owner's first row no job has been accepted long.
-        if (rows.empty()) return done(0);
-        const auto waiting = DecodeWaiting(rows.front().value);
-        if (!waiting) return done(JobUnavailable{"unreadable counts"});
-        const auto it = waiting->find(queue);
-        done(it == waiting->end() ? 0 : it->second);
-      });
+void JobService::ReadWaitingCount(
+    const base::ServiceName& service, const QueueName& queue,
+    std::function<void(WaitingCountResult)> done) {
+  store_.Read(OneRow(kWaitingCountsTable, WaitingCountsPartition(service),
+                     std::string(kWaitingCountsKey)),
+              [queue, done = std::move(done)](const RowsReadResult& result) {
+                if (const auto* failed = std::get_if<ReadFailed>(&result)) {
+                  return done(JobStoreUnavailable{failed->detail});
+                }
+                const auto& rows = std::get<RowsRead>(result).rows;
+                // Before the owner's first row no job has been accepted long.
+                if (rows.empty()) return done(0);
+                const auto waiting = DecodeWaitingCounts(rows.front().value);
+                if (!waiting)
+                  return done(JobStoreUnavailable{"unreadable counts"});
+                const auto it = waiting->find(queue);
+                done(it == waiting->end() ? 0 : it->second);
+              });
 }
 
 }  // namespace lapishatch::jobs
--- a/src/jobs/job_service.h
+++ b/src/jobs/job_service.h
@@ -20,25 +20,26 @@
 };
 
 /// The store did not say.
-struct JobUnknown {
+struct JobOutcomeUnknown {
   std::string detail;
 };
 
 struct NoSuchJob {};
 
 /// The store could not be read.
-struct JobUnavailable {
+struct JobStoreUnavailable {
   std::string detail;
 };
 
-using SubmitResult = std::variant<JobAccepted, JobNotAccepted, JobUnknown>;
-using StateResult = std::variant<JobState, NoSuchJob, JobUnavailable>;
+using SubmitResult =
+    std::variant<JobAccepted, JobNotAccepted, JobOutcomeUnknown>;
+using StateResult = std::variant<JobState, NoSuchJob, JobStoreUnavailable>;
 
 /// The cancelling stands in the store, or the job has ended before.
 struct JobCancelled {};
 
-using CancelResult = std::variant<JobCancelled, NoSuchJob, JobUnavailable>;
-using WaitingResult = std::variant<int, JobUnavailable>;
+using CancelResult = std::variant<JobCancelled, NoSuchJob, JobStoreUnavailable>;
+using WaitingCountResult = std::variant<int, JobStoreUnavailable>;
 
 /// Accepts, shows and cancels jobs, on behalf of any front. Keeps nothing: each
 /// answer is as of the store. One call costs one transaction or one read, in
@@ -50,15 +51,16 @@
   void Submit(const Job& job, std::function<void(SubmitResult)> done);
 
   /// The state of job `name` of `service`.
-  void State(const base::ServiceName& service, const base::JobName& name,
-             const std::function<void(StateResult)>& done);
+  void ReadState(const base::ServiceName& service, const base::JobName& name,
+                 const std::function<void(StateResult)>& done);
 
   void Cancel(const base::ServiceName& service, const base::JobName& name,
               std::function<void(CancelResult)> done);
 
   /// Jobs of `queue` none of whose tasks has begun, as the owner last wrote.
-  void Waiting(const base::ServiceName& service, const QueueName& queue,
-               std::function<void(WaitingResult)> done);
+  void ReadWaitingCount(const base::ServiceName& service,
+                        const QueueName& queue,
+                        std::function<void(WaitingCountResult)> done);
 
  private:
   store::RowStore& store_;
--- a/src/jobs/progress.h
+++ b/src/jobs/progress.h
@@ -44,7 +44,7 @@
   int failures = 0;
   /// The last run that counts among them, 0 for none: the end of a run may be
   /// listed again to the next owner, and counts once.
-  int failed_run = 0;
+  int last_failed_run = 0;
   /// The number of its last run, 0 for none; the next has a higher one.
   int last_run = 0;
   /// Of an earlier run; empty for none.
--- a/src/jobs/queue_table.h
+++ b/src/jobs/queue_table.h
@@ -18,7 +18,7 @@
 struct Queue {
   QueueName name;
   std::string host;
-  std::string prefix;
+  std::string path_prefix;
   /// Whose workers run the jobs.
   base::ServiceName service;
   int priority = 0;
@@ -32,7 +32,7 @@
 /// An organisation as the queues see it.
 struct QueueOrganisation {
   base::OrganisationName name;
-  std::vector<std::string> keys;
+  std::vector<std::string> api_keys;
   /// Accelerators that its jobs of priority 0 may have at any time.
   std::int64_t guaranteed_accelerators = 0;
 };
@@ -53,10 +53,10 @@
 
   /// The queue of `host` (a port behind it is ignored) with the longest prefix
   /// of `path`, or null.
-  const Queue* Find(std::string_view host, std::string_view path) const;
+  const Queue* FindQueue(std::string_view host, std::string_view path) const;
 
   /// Whose key it is, or null.
-  const QueueOrganisation* FindKey(std::string_view key) const;
+  const QueueOrganisation* FindOrganisationByKey(std::string_view key) const;
 
  private:
   QueueConfiguration configuration_;
--- a/test/dispatch/capacity_change_test.cc
+++ b/test/dispatch/capacity_change_test.cc
@@ -8,11 +8,11 @@
 
 using base::Duration;
 using jobs::JobState;
-using jobs::Room;
+using jobs::Resources;
 
-constexpr Room kHalf{32'000, 131'072, 4};
-constexpr Room kFull{64'000, 262'144, 8};
-constexpr Room kLessThanOneTask{500, 500, 0};
+constexpr Resources kHalf{32'000, 131'072, 4};
+constexpr Resources kFull{64'000, 262'144, 8};
+constexpr Resources kLessThanOneTask{500, 500, 0};
 
 jobs::TaskName TaskOf(const std::string& job, int index) {
   return {base::JobName(job), 0, 0, index};
@@ -69,7 +69,7 @@
 
 TEST_CASE("each dimension of a capacity limits starts on its own") {
   CapacityWorld world(1, 1);
-  Room room = kFull;
+  Resources room = kFull;
   const int dimension = GENERATE(0, 1, 2);
   if (dimension == 0) room.cpu_millis = 2'500;
   if (dimension == 1) room.memory_mb = 2'500;
--- a/test/dispatch/owner_history_test.cc
+++ b/test/dispatch/owner_history_test.cc
@@ -11,7 +11,7 @@
 constexpr int kOwners = 3;
 constexpr int kWorkers = 6;
 constexpr int kJobs = 14;
-constexpr jobs::Room kFullCapacity{
+constexpr jobs::Resources kFullCapacity{
     OwnerWorld::kCoresMillis, OwnerWorld::kMemoryMb, OwnerWorld::kAccelerators};
 
 /// One history: jobs of all shapes while processes are killed and started,
@@ -86,7 +86,7 @@
     job.steps[0].is_gang = Draw(1, 3) == 1;
     if (Draw(1, 3) == 1) {
       job.steps.push_back(job.steps.front());
-      job.steps.back().after = {0};
+      job.steps.back().depends_on = {0};
       job.steps.back().is_gang = false;
     }
     world_.Submit(job);
--- a/test/dispatch/owner_test.cc
+++ b/test/dispatch/owner_test.cc
@@ -61,7 +61,7 @@
   world.RunFor(1'000);
   auto job = OwnerWorld::MakeJob("map", 3, 1);
   job.steps.push_back(job.steps.front());
-  job.steps.back().after = {0};
+  job.steps.back().depends_on = {0};
   world.Submit(job);
   world.RunFor(1'500);
   CHECK(world.workers().starts(TaskOf("map", 0, 0)) == 1);
@@ -353,7 +353,7 @@
   world.RunFor(1'000);
   auto gang = OwnerWorld::MakeJob("gang", 2, 4);
   gang.steps[0].is_gang = true;
-  gang.steps[0].estimate = base::Duration(4'000);
+  gang.steps[0].run_time_estimate = base::Duration(4'000);
   world.Submit(gang);
   world.RunFor(500);
   const auto leaving = world.workers().WhereRuns(TaskOf("gang", 0));
@@ -454,7 +454,7 @@
   world.RunFor(1'000);
   auto job = OwnerWorld::MakeJob("plan", 1, 1);
   job.steps.push_back(job.steps.front());
-  job.steps.back().after = {0};
+  job.steps.back().depends_on = {0};
   world.Submit(job);
   world.RunFor(500);
   const auto behind = world.workers().WhereRuns(first);
@@ -509,12 +509,12 @@
   };
   world.RunFor(1'000);
   auto quiet = OwnerWorld::MakeJob("quiet", 8, 1);
-  quiet.steps[0].estimate = base::Duration(20'000);
+  quiet.steps[0].run_time_estimate = base::Duration(20'000);
   world.Submit(quiet);
   world.RunFor(15'000);
   auto urgent = OwnerWorld::MakeJob("urgent", 1, 8);
   urgent.priority = 0;
-  urgent.steps[0].estimate = base::Duration(100);
+  urgent.steps[0].run_time_estimate = base::Duration(100);
   urgent.target_latency = base::Duration(1'000);
   world.Submit(urgent);
   world.RunFor(2'000);
@@ -605,8 +605,9 @@
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
   world.RunFor(4'000);
   const base::ServiceName service(OwnerWorld::kService);
-  world.store().Remove(
-      "requests", jobs::RequestPartOf(service, base::JobName("plan")), "plan");
+  world.store().Remove("requests",
+                       jobs::RequestPartition(service, base::JobName("plan")),
+                       "plan");
   world.KillOwner("vm0");
   world.StartOwner("vm0");
   world.RunFor(1'000);
--- a/test/dispatch/owner_world.h
+++ b/test/dispatch/owner_world.h
@@ -108,7 +108,8 @@
 
   /// Changes a worker's capacity; its registration shows it after
   /// `report_delay`.
-  void SetCapacity(const base::WorkerName& name, const jobs::Room& capacity,
+  void SetCapacity(const base::WorkerName& name,
+                   const jobs::Resources& capacity,
                    base::Duration report_delay = base::Duration(0)) {
     workers_.SetCapacity(name, capacity, kCapacityGrace);
     current_capacities_[name] = capacity;
@@ -229,7 +230,7 @@
     jobs::Step step;
     step.tasks = tasks;
     step.needs = {1'000, 1'000, accelerators};
-    step.estimate = base::Duration(2'000);
+    step.run_time_estimate = base::Duration(2'000);
     out.steps.push_back(step);
     return out;
   }
@@ -253,12 +254,13 @@
   /// What a caller is told; nothing while it is not known.
   std::optional<jobs::JobState> StateOf(const std::string& job) {
     std::optional<jobs::JobState> out;
-    entry_.State(base::ServiceName(kService), base::JobName(job),
-                 [&out](const jobs::StateResult& it) {
-                   if (const auto* state = std::get_if<jobs::JobState>(&it)) {
-                     out = *state;
-                   }
-                 });
+    entry_.ReadState(
+        base::ServiceName(kService), base::JobName(job),
+        [&out](const jobs::StateResult& it) {
+          if (const auto* state = std::get_if<jobs::JobState>(&it)) {
+            out = *state;
+          }
+        });
     RunFor(20);
     return out;
   }
@@ -312,7 +314,7 @@
     return view.known;
   }
 
-  jobs::Room NeedsOf(const jobs::TaskName& task) const {
+  jobs::Resources NeedsOf(const jobs::TaskName& task) const {
     const auto it = jobs_.find(task.job);
     if (it == jobs_.end()) return {};
     return it->second.steps[static_cast<std::size_t>(task.step)].needs;
@@ -341,7 +343,7 @@
   std::map<base::WorkerName, WorkerEntry> entries_;
   /// Current capacity of each worker whose capacity has changed; its
   /// registration may still show an earlier one.
-  std::map<base::WorkerName, jobs::Room> current_capacities_;
+  std::map<base::WorkerName, jobs::Resources> current_capacities_;
   /// Current names of restarted workers, by original name.
   std::map<base::WorkerName, base::WorkerName> current_names_;
   std::map<base::OrganisationName, std::int64_t> guarantees_;
--- a/test/dispatch/placer_test.cc
+++ b/test/dispatch/placer_test.cc
@@ -6,7 +6,7 @@
 namespace lapishatch::dispatch {
 namespace {
 
-constexpr jobs::Room kWorker{64'000, 262'144, 8};
+constexpr jobs::Resources kWorker{64'000, 262'144, 8};
 
 /// Workers of eight accelerators, `per_rack` a rack, all open.
 Fleet MakeFleet(int workers, int per_rack) {
@@ -115,7 +115,7 @@
   Take(fleet, "w5", 8);
   OpenWorkers open(fleet);
   auto step = MakeStep(3, 4);
-  step.is_gang = step.wants_one_rack = true;
+  step.is_gang = step.prefers_single_rack = true;
   CHECK(FindPlaces(open, RequestFor(step)) == Called({"w2", "w3", "w3"}));
 }
 
@@ -125,7 +125,7 @@
   Take(fleet, "w2", 8);
   OpenWorkers open(fleet);
   auto step = MakeStep(2, 8);
-  step.is_gang = step.wants_one_rack = true;
+  step.is_gang = step.prefers_single_rack = true;
   auto request = RequestFor(step);
   CHECK_FALSE(FindPlaces(open, request));
   request.accepts_slow = true;
@@ -137,9 +137,9 @@
   auto fleet = MakeFleet(4, 2);
   OpenWorkers open(fleet);
   auto step = MakeStep(3, 8);
-  step.is_gang = step.wants_one_rack = true;
+  step.is_gang = step.prefers_single_rack = true;
   CHECK_FALSE(CouldEverFit(open, RequestFor(step)));
-  step.wants_one_rack = false;
+  step.prefers_single_rack = false;
   CHECK(CouldEverFit(open, RequestFor(step)));
 }
 
@@ -149,7 +149,7 @@
   OpenWorkers open(fleet);
   auto step = MakeStep(2, 1);
   step.is_gang = true;
-  step.most_per_worker = 1;
+  step.max_tasks_per_worker = 1;
   CHECK(FindPlaces(open, RequestFor(step)) == Called({"w0", "w1"}));
   step.required_label = "fast";
   CHECK_FALSE(FindPlaces(open, RequestFor(step)));
--- a/test/dispatch/task_crash_test.cc
+++ b/test/dispatch/task_crash_test.cc
@@ -125,7 +125,7 @@
   world.crash_step = 1;
   auto job = OwnerWorld::MakeJob("crash", 2, 1);
   job.steps.push_back(job.steps.front());
-  job.steps.back().after = {0};
+  job.steps.back().depends_on = {0};
   world.Submit(job);
   world.RunFor(50'000);
   world.CheckGivenUp("crash");
@@ -199,7 +199,7 @@
     ++world.sound_count;
     urgent.priority = 0;
     urgent.slack_factor = 3;
-    urgent.steps[0].estimate = Duration(3'000);
+    urgent.steps[0].run_time_estimate = Duration(3'000);
     world.Submit(urgent);
   }
   world.RunFor(60'000);
--- a/test/dispatch/task_planner_test.cc
+++ b/test/dispatch/task_planner_test.cc
@@ -14,7 +14,7 @@
   jobs::Step out;
   out.tasks = tasks;
   out.needs = {1'000, 1'000, 8};
-  out.estimate = Duration(4'000);
+  out.run_time_estimate = Duration(4'000);
   return out;
 }
 
@@ -47,7 +47,7 @@
   Unit& AddRackGang(const char* name, Duration age = Duration(0)) {
     auto step = WholeWorkers(2);
     step.is_gang = true;
-    step.wants_one_rack = true;
+    step.prefers_single_rack = true;
     auto& entry = Add(name, 1, 1, step, age);
     return entry.runs.front().front().units.front();
   }
--- a/test/dispatch/worker_drain_test.cc
+++ b/test/dispatch/worker_drain_test.cc
@@ -16,7 +16,7 @@
   Unit unit;
 
   OneTask() {
-    step.estimate = Duration(4'000);
+    step.run_time_estimate = Duration(4'000);
     run.step = &step;
     unit.step = &run;
     unit.started = kStart;
--- a/test/jobs/jobs_test.cc
+++ b/test/jobs/jobs_test.cc
@@ -27,14 +27,14 @@
   Step step;
   step.tasks = 5;
   step.needs = {7'500, 39'000, 8};
-  step.estimate = base::Duration(2'500);
-  step.has_checkpoints = step.is_gang = step.wants_one_rack = true;
-  step.allows_copies = step.is_service = step.fills = true;
+  step.run_time_estimate = base::Duration(2'500);
+  step.supports_checkpoints = step.is_gang = step.prefers_single_rack = true;
+  step.allows_speculative_copies = step.is_service = step.uses_spare_cpu = true;
   step.required_label = "a";
   step.preferred_rack = base::RackName("r1-2");
-  step.most_per_worker = 2;
+  step.max_tasks_per_worker = 2;
   out.steps = {step, step};
-  out.steps[1].after = {0};
+  out.steps[1].depends_on = {0};
   return out;
 }
 
@@ -50,7 +50,7 @@
     CHECK_FALSE(DecodeJob(text));
   }
   CHECK_FALSE(DecodeProgress(R"({"state":1,"units":[[1]]})"));
-  CHECK_FALSE(DecodeWaiting("[]"));
+  CHECK_FALSE(DecodeWaitingCounts("[]"));
 }
 
 TEST_CASE("what is done of a wide job takes little of its row") {
@@ -97,10 +97,10 @@
 TEST_CASE("jobs spread over all parts of their service") {
   std::set<std::string> parts;
   for (int i = 0; i < 200; ++i) {
-    parts.insert(PartOf(base::ServiceName("s"),
-                        base::JobName("job" + std::to_string(i))));
+    parts.insert(ProgressPartition(base::ServiceName("s"),
+                                   base::JobName("job" + std::to_string(i))));
   }
-  const auto all = PartsOf(base::ServiceName("s"));
+  const auto all = ProgressPartitions(base::ServiceName("s"));
   CHECK(parts == std::set<std::string>(all.begin(), all.end()));
 }
 
@@ -110,20 +110,20 @@
     Queue queue;
     queue.name = QueueName(prefix);
     queue.host = prefix[1] == 'c' ? "two.example" : "one.example";
-    queue.prefix = prefix;
+    queue.path_prefix = prefix;
     configuration.queues.push_back(queue);
   }
   QueueOrganisation crews;
   crews.name = base::OrganisationName("crews");
-  crews.keys = {"k1", "k2"};
+  crews.api_keys = {"k1", "k2"};
   configuration.organisations.push_back(crews);
   const QueueTable table(configuration);
-  CHECK(table.Find("one.example", "/a/b/x")->prefix == "/a/b/");
-  CHECK(table.Find("one.example:80", "/a/x")->prefix == "/a/");
-  CHECK(table.Find("one.example", "/c/x") == nullptr);
-  CHECK(table.Find("three.example", "/a/x") == nullptr);
-  CHECK(table.FindKey("k2")->name.str() == "crews");
-  CHECK(table.FindKey("") == nullptr);
+  CHECK(table.FindQueue("one.example", "/a/b/x")->path_prefix == "/a/b/");
+  CHECK(table.FindQueue("one.example:80", "/a/x")->path_prefix == "/a/");
+  CHECK(table.FindQueue("one.example", "/c/x") == nullptr);
+  CHECK(table.FindQueue("three.example", "/a/x") == nullptr);
+  CHECK(table.FindOrganisationByKey("k2")->name.str() == "crews");
+  CHECK(table.FindOrganisationByKey("") == nullptr);
 }
 
 struct World {
@@ -140,8 +140,8 @@
     time.RunFor(base::Duration(ms));
   }
   void Look(const Job& job) {
-    service.State(job.service, job.name,
-                  [this](const StateResult& it) { state = it; });
+    service.ReadState(job.service, job.name,
+                      [this](const StateResult& it) { state = it; });
     time.RunFor(base::Duration(100));
   }
   void Cancel(const Job& job) {
@@ -187,7 +187,7 @@
   world.Submit(other, 1'900);
   world.store.SetFault("entry", StoreFault::kNone);
   world.time.RunFor(base::Duration(500));
-  CHECK(std::holds_alternative<JobUnknown>(*world.submitted));
+  CHECK(std::holds_alternative<JobOutcomeUnknown>(*world.submitted));
   world.time.RunFor(base::Duration(3'000));
   world.Look(other);
   CHECK(std::get<JobState>(*world.state) == JobState::kQueued);
--- a/test/site/codec_test.cc
+++ b/test/site/codec_test.cc
@@ -132,7 +132,7 @@
   CHECK(entry->name.str() == "i-1");
   CHECK(entry->endpoint == http::Endpoint{"10.1.0.9", 8080});
   CHECK(entry->rack.str() == "r1-3");
-  CHECK(entry->capacity == jobs::Room{16'000, 32'768, 4});
+  CHECK(entry->capacity == jobs::Resources{16'000, 32'768, 4});
   CHECK(entry->is_draining);
   CHECK(entry->stays == base::Duration(1'500));
 }
@@ -216,9 +216,9 @@
   REQUIRE(body.steps.size() == 2);
   CHECK(body.steps[0].preferred_rack.str() == "r1-3");
   CHECK(body.steps[1].is_gang);
-  CHECK(body.steps[1].wants_one_rack);
-  CHECK(body.steps[1].after == std::vector<int>{0});
-  CHECK(body.steps[1].most_per_worker == 1);
+  CHECK(body.steps[1].prefers_single_rack);
+  CHECK(body.steps[1].depends_on == std::vector<int>{0});
+  CHECK(body.steps[1].max_tasks_per_worker == 1);
 }
 
 TEST_CASE("bad bodies are refused with what is wrong") {
--- a/test/site/standin_codec_test.cc
+++ b/test/site/standin_codec_test.cc
@@ -66,7 +66,7 @@
   jobs::Queue queue;
   queue.name = jobs::QueueName("q");
   queue.host = "h";
-  queue.prefix = "/p/";
+  queue.path_prefix = "/p/";
   queue.max_attempts = 3;
   queue.is_public = true;
   configuration.queues.push_back(queue);
@@ -85,9 +85,9 @@
   step.tasks = 4;
   step.is_gang = true;
   step.needs = {500, 256, 2};
-  step.estimate = base::Duration(900);
+  step.run_time_estimate = base::Duration(900);
   job.steps = {step, step};
-  job.steps[1].after = {0};
+  job.steps[1].depends_on = {0};
   const auto read = DecodeJobBody(EncodeJobBody(job));
   const auto& body = std::get<JobBody>(read);
   CHECK(body.spec == "s");
--- a/test/soak/site_process_test.cc
+++ b/test/soak/site_process_test.cc
@@ -32,7 +32,7 @@
     jobs::Queue queue;
     queue.name = jobs::QueueName("queue");
     queue.host = "127.0.0.1";
-    queue.prefix = "/";
+    queue.path_prefix = "/";
     queue.service = base::ServiceName("survey");
     configuration.queues.push_back(queue);
     rows.Put("op", "", "config",
--- a/testing/fakes/fake_task_workers.cc
+++ b/testing/fakes/fake_task_workers.cc
@@ -41,7 +41,7 @@
   dispatch::WorkerEntry entry;
   bool is_alive = true;
   struct FormerCapacity {
-    jobs::Room capacity;
+    jobs::Resources capacity;
     /// End of the grace period in which owners may still rely on it.
     base::TimePoint grace_end;
   };
@@ -152,14 +152,15 @@
 }
 
 void FakeTaskWorkers::SetCapacity(const WorkerName& name,
-                                  const jobs::Room& capacity, Duration grace) {
+                                  const jobs::Resources& capacity,
+                                  Duration grace) {
   auto* worker = Find(name);
   worker->former_capacities.push_back(
       {worker->entry.capacity, time_.Now() + grace});
   worker->entry.capacity = capacity;
 }
 
-jobs::Room FakeTaskWorkers::CapacityLimit(const Worker& worker) const {
+jobs::Resources FakeTaskWorkers::CapacityLimit(const Worker& worker) const {
   auto out = worker.entry.capacity;
   for (const auto& it : worker.former_capacities) {
     if (it.grace_end <= time_.Now()) continue;
@@ -268,7 +269,7 @@
   if (!needs) return;
   auto room = CapacityLimit(worker);
   for (const auto& it : worker.running) room -= needs(it.task);
-  if (!room.Holds(needs(run.task))) {
+  if (!room.Covers(needs(run.task))) {
     Violate("over capacity: " + TextOf(run.task) + " on " +
             worker.entry.name.str());
   }
--- a/testing/fakes/fake_task_workers.h
+++ b/testing/fakes/fake_task_workers.h
@@ -36,7 +36,7 @@
   /// Called after a worker has crashed.
   std::function<void(const base::WorkerName&)> on_crash;
   /// What a task takes; without it nothing is checked of capacity.
-  std::function<jobs::Room(const jobs::TaskName&)> needs;
+  std::function<jobs::Resources(const jobs::TaskName&)> needs;
   /// Tasks of the gang that a task belongs to; 1 for none.
   std::function<int(const jobs::TaskName&)> gang_size;
 
@@ -44,8 +44,8 @@
 
   /// Changes the worker's capacity. Starts that exceed a reduced one but fit
   /// the former one are violations only after `grace`.
-  void SetCapacity(const base::WorkerName& name, const jobs::Room& capacity,
-                   base::Duration grace);
+  void SetCapacity(const base::WorkerName& name,
+                   const jobs::Resources& capacity, base::Duration grace);
 
   /// The worker's process dies with all that it ran, and does not come back.
   void Crash(const base::WorkerName& name);
@@ -115,7 +115,7 @@
   void NoteStart(Worker& worker, const Run& run);
   /// Limit on starts, per dimension: the largest of the worker's capacity and
   /// the former capacities whose grace period has not ended.
-  jobs::Room CapacityLimit(const Worker& worker) const;
+  jobs::Resources CapacityLimit(const Worker& worker) const;
   /// Detects a task that crashes its workers and is restarted without limit.
   void CheckRestarts(const jobs::TaskName& task);
   dispatch::WorkerClock ClockOf(const Worker& worker) const;
--- a/testing/soak/job_callers.cc
+++ b/testing/soak/job_callers.cc
@@ -79,8 +79,8 @@
     step.tasks = Draw(1, 4);
     step.is_gang = step.tasks > 1 && Draw(1, kPercent) <= kGangs;
     step.needs = {1'000, 1'000, Draw(1, 4)};
-    step.estimate = base::Duration(Draw(200, 1'500));
-    if (i > 0) step.after = {i - 1};
+    step.run_time_estimate = base::Duration(Draw(200, 1'500));
+    if (i > 0) step.depends_on = {i - 1};
     out.steps.push_back(step);
   }
   return out;
--- a/testing/soak/soak.cc
+++ b/testing/soak/soak.cc
@@ -67,11 +67,11 @@
         random_(options.seed) {
     model_.run_time = [this](const jobs::TaskName& task) {
       const auto* step = StepOf(task);
-      return step == nullptr ? Duration(1'000) : step->estimate;
+      return step == nullptr ? Duration(1'000) : step->run_time_estimate;
     };
     model_.needs = [this](const jobs::TaskName& task) {
       const auto* step = StepOf(task);
-      return step == nullptr ? jobs::Room{} : step->needs;
+      return step == nullptr ? jobs::Resources{} : step->needs;
     };
     model_.gang_size = [this](const jobs::TaskName& task) {
       const auto* step = StepOf(task);
@@ -121,7 +121,7 @@
     jobs::Queue queue;
     queue.name = jobs::QueueName("queue");
     queue.host = JobCallers::kHost;
-    queue.prefix = JobCallers::kPrefix;
+    queue.path_prefix = JobCallers::kPrefix;
     queue.service = base::ServiceName(JobCallers::kService);
     queue.priority = 1;
     // Faults of workers must not use them up.
