--- a/bench/domain_choice.cc
+++ b/bench/domain_choice.cc
@@ -91,8 +91,8 @@
   spec.needs = gang.needs;
   spec.adjacency = gang.adjacency;
   spec.idempotent = gang.idempotent;
-  spec.checkpoint = gang.checkpoint;
-  spec.borrow = gang.borrow;
+  spec.checkpoint = gang.checkpointable;
+  spec.borrow = gang.allow_borrowing;
   return spec;
 }
 
@@ -295,7 +295,7 @@
     auto& state = jobs_[index];
     ++state.attempt;
     running_[state.domain] -= job.gang.accelerators();
-    cells_[state.domain].Ended(job.gang.job, Now());
+    cells_[state.domain].ReportEnded(job.gang.job, Now());
     out_.ratios.push_back(std::max(1.0, (now_s_ - job.submit_s) / job.run_s));
     Close(index);
   }
@@ -305,9 +305,9 @@
     auto& state = jobs_[index];
     ++state.attempt;
     running_[state.domain] -= gang.accelerators();
-    if (gang.checkpoint) state.left_s -= now_s_ - state.started_s;
+    if (gang.checkpointable) state.left_s -= now_s_ - state.started_s;
     state.left_s = std::max(state.left_s, 1.0);
-    cells_[state.domain].Ended(gang.job, Now());
+    cells_[state.domain].ReportEnded(gang.job, Now());
     Submit(index);
   }
 
@@ -350,7 +350,7 @@
     ++out_.evictions;
     auto& state = jobs_[index];
     ++state.attempt;
-    const bool checkpoint = load_.jobs[index].gang.checkpoint;
+    const bool checkpoint = load_.jobs[index].gang.checkpointable;
     events_.emplace(
         now_s_ + (checkpoint ? kCheckpointStopSeconds : kStopSeconds),
         Event{Kind::kStopped, index, state.attempt});
--- a/bench/placement_load.h
+++ b/bench/placement_load.h
@@ -164,10 +164,10 @@
     } else if (work_class == base::WorkClass::kNormal) {
       Shape(gang, 1, 1 << Pick({3, 3, 2, 1}), placement::Adjacency::kWorker);
       job.run_s = LogNormal(1200, 0.7);
-      gang.checkpoint = Uniform(0, 1) < 0.5;
+      gang.checkpointable = Uniform(0, 1) < 0.5;
       // Claim checks run once, and can't be saved on the way.
       if (firm_ == Firm::kFianza && Uniform(0, 1) < 0.2) {
-        gang.checkpoint = false;
+        gang.checkpointable = false;
         gang.idempotent = false;
         Shape(gang, 1, 1, placement::Adjacency::kWorker);
         job.run_s = LogNormal(300, 0.5);
@@ -179,7 +179,7 @@
             tasks > kPerRack ? placement::Adjacency::kDomain
                              : placement::Adjacency::kRack);
       job.run_s = LogNormal(firm_ == Firm::kFianza ? 7200 : 5400, 0.6);
-      gang.checkpoint = Uniform(0, 1) < 0.9;
+      gang.checkpointable = Uniform(0, 1) < 0.9;
     }
     job.run_s = std::clamp(job.run_s, 30.0, 8 * 3600.0);
     Declare(job);
--- a/bench/placement_policies.h
+++ b/bench/placement_policies.h
@@ -81,12 +81,12 @@
   }
 
   double Fragmentation(const placement::Shape& shape) const {
-    std::vector<placement::FreeWorker> workers;
+    std::vector<placement::WorkerFreeCapacity> workers;
     for (int i = 0; i < kWorkers; ++i) {
       if (!free_[i].up) continue;
       workers.push_back({i / kPerRack, kAccelerators, free_[i].accelerators});
     }
-    return placement::FragmentationOf(workers, shape);
+    return placement::ComputeFragmentation(workers, shape);
   }
 
   int free_accelerators() const {
--- a/bench/placement_run.h
+++ b/bench/placement_run.h
@@ -259,7 +259,7 @@
 inline void Run::EndInPolicy(int index) {
   const auto& job = load_->jobs[index].gang.job;
   if (planner_) {
-    std::get<placement::Planner>(policy_).Ended(job, Now());
+    std::get<placement::Planner>(policy_).ReportEnded(job, Now());
   } else {
     std::get<Baseline>(policy_).Ended(job);
   }
@@ -271,14 +271,14 @@
   const double ran = now_s_ - state.started_s;
   const double done = std::max(0.0, ran - state.restore_s);
   double kept = 0;
-  if (job.gang.checkpoint) {
+  if (job.gang.checkpointable) {
     kept = saved ? done
                  : std::floor(done / kPeriodicCheckpointSeconds) *
                        kPeriodicCheckpointSeconds;
   }
   state.left_s -= std::min(kept, state.left_s);
   *lost += (ran - kept) * job.gang.accelerators();
-  state.restore_s = job.gang.checkpoint ? kRestoreSeconds : 0;
+  state.restore_s = job.gang.checkpointable ? kRestoreSeconds : 0;
   ++state.attempt;
   for (const auto it : state.workers) memory_mb_[it] -= job.memory_mb;
   state.workers.clear();
@@ -289,7 +289,7 @@
 inline void Run::StopLost(int index) {
   const auto& gang = load_->jobs[index].gang;
   Stop(index, false, &outcome_.lost_by_failure);
-  if (gang.checkpoint || gang.idempotent) return Submit(index, false);
+  if (gang.checkpointable || gang.idempotent) return Submit(index, false);
   states_[index].phase = Phase::kDone;
   --open_jobs_;
   ++outcome_.failed;
@@ -387,7 +387,7 @@
       Start(*start);
     } else if (const auto* evict = std::get_if<placement::EvictGang>(&it)) {
       const int index = index_of_.at(evict->job);
-      const bool checkpoint = load_->jobs[index].gang.checkpoint;
+      const bool checkpoint = load_->jobs[index].gang.checkpointable;
       const double stop = checkpoint ? std::uniform_real_distribution<double>(
                                            1, kLargestStopSeconds)(random_)
                                      : 0.5;
@@ -452,10 +452,10 @@
     return shape.accelerators / kAccelerators * (kAccelerators / charge) >=
            gang.tasks;
   };
-  const auto facts = std::get<placement::Planner>(policy_).Facts();
+  const auto snapshot = std::get<placement::Planner>(policy_).Snapshot();
   return std::any_of(
-      facts.blocks.begin(), facts.blocks.end(), [&](const auto& it) {
-        return it.organisation == gang.organisation && it.gangs == 0 &&
+      snapshot.blocks.begin(), snapshot.blocks.end(), [&](const auto& it) {
+        return it.organisation == gang.organisation && it.gang_count == 0 &&
                !it.parts.empty() && holds(it.shape);
       });
 }
--- a/bench/placement_scale.cc
+++ b/bench/placement_scale.cc
@@ -66,7 +66,7 @@
   gang.tasks = tasks;
   gang.needs = {accelerators, accelerators * 4, accelerators * kTaskMb};
   gang.adjacency = tasks == 1 ? Adjacency::kWorker : Adjacency::kRack;
-  gang.checkpoint = true;
+  gang.checkpointable = true;
   gang.idempotent = true;
   return gang;
 }
@@ -121,15 +121,15 @@
 
   /// A new owner: everything that runs is adopted by an empty planner.
   void Recover() {
-    const auto facts = planner_.Facts();
+    const auto snapshot = planner_.Snapshot();
     std::vector<double> times;
     for (int i = 0; i < kRecoveries; ++i) {
       placement::Planner planner({});
       times.push_back(Microseconds([&] {
         for (int n = 0; n < workers_; ++n) planner.PutWorker(MakeWorker(n));
         planner.ForceGuarantees(guarantees_);
-        for (const auto& it : facts.gangs) {
-          if (it.arriving) continue;
+        for (const auto& it : snapshot.gangs) {
+          if (it.awaiting_capacity) continue;
           planner.Adopt(it.gang, it.placement, Now());
         }
         planner.Decide(Now());
@@ -185,14 +185,14 @@
   void End() {
     const auto at = std::uniform_int_distribution<std::size_t>(
         0, running_.size() - 1)(random_);
-    planner_.Ended(running_[at], Now());
+    planner_.ReportEnded(running_[at], Now());
     running_.erase(running_.begin() + static_cast<std::ptrdiff_t>(at));
     EndEvicted();
   }
 
   void EndEvicted() {
     for (const auto& it : evicted_) {
-      planner_.Ended(it, Now());
+      planner_.ReportEnded(it, Now());
       std::erase(running_, it);
     }
     evicted_.clear();
--- a/src/config/capacity.cc
+++ b/src/config/capacity.cc
@@ -32,7 +32,7 @@
 }
 
 bool IsHeldByGuarantee(placement::Planner& planner, placement::Gang gang) {
-  gang.borrow = false;
+  gang.allow_borrowing = false;
   return WhyNever(planner, gang).empty();
 }
 
@@ -52,8 +52,8 @@
   gang.tasks = spec.tasks;
   gang.needs = spec.needs;
   gang.adjacency = spec.adjacency;
-  gang.borrow = spec.borrow;
-  gang.checkpoint = spec.checkpoint;
+  gang.allow_borrowing = spec.borrow;
+  gang.checkpointable = spec.checkpoint;
   gang.idempotent = spec.idempotent;
   gang.may_be_lost = spec.may_be_lost;
   gang.declared_runtime = spec.declared_runtime;
--- a/src/dispatch/internal/worker_health.h
+++ b/src/dispatch/internal/worker_health.h
@@ -52,7 +52,7 @@
   }
 
   /// Lets in again whose time is over.
-  void Release(base::TimePoint now) { quarantine_.Release(now); }
+  void Release(base::TimePoint now) { quarantine_.ReleaseExpired(now); }
 
   void Forget(const base::WorkerName& worker);
 
--- a/src/placement/cell_facts.cc
+++ b/src/placement/cell_snapshot.cc
@@ -1,4 +1,4 @@
-#include "placement/cell_facts.h"
+#include "placement/cell_snapshot.h"
 
 #include <map>
 #include <set>
@@ -15,14 +15,14 @@
 /// Sums up a cell worker by worker and compares.
 class Checker {
  public:
-  explicit Checker(const CellFacts& facts) : facts_(&facts) {
-    for (const auto& it : facts.workers) workers_[it.spec.name] = &it;
+  explicit Checker(const CellSnapshot& snapshot) : snapshot_(&snapshot) {
+    for (const auto& it : snapshot.workers) workers_[it.spec.name] = &it;
   }
 
   std::string Run() {
-    for (const auto& it : facts_->gangs) CheckGang(it);
+    for (const auto& it : snapshot_->gangs) CheckGang(it);
     CheckRoom();
-    for (const auto& it : facts_->blocks) CheckBlock(it);
+    for (const auto& it : snapshot_->blocks) CheckBlock(it);
     CheckDisjoint();
     CheckOwners();
     CheckCounts();
@@ -34,13 +34,13 @@
     if (problem_.empty()) problem_ = std::move(text);
   }
 
-  int ChargeOf(const GangFact& gang, const TaskPlacement& task) const {
+  int ChargeOf(const GangSnapshot& gang, const TaskPlacement& task) const {
     const auto it = workers_.find(task.worker);
     if (it == workers_.end()) return 0;
     return internal::ChargeOn(it->second->spec, gang.gang.needs);
   }
 
-  static bool Open(const WorkerFact& it) {
+  static bool Open(const WorkerSnapshot& it) {
     return it.present && it.health == WorkerHealth::kHealthy;
   }
 
@@ -48,7 +48,7 @@
   int OwnOn(const base::OrganisationName& organisation,
             const base::WorkerName& worker) const {
     int own = 0;
-    for (const auto& it : facts_->gangs) {
+    for (const auto& it : snapshot_->gangs) {
       if (it.placement.borrowed || it.gang.organisation != organisation) {
         continue;
       }
@@ -60,7 +60,7 @@
   }
 
   /// Whole, and as close together as it asked.
-  void CheckGang(const GangFact& it) {
+  void CheckGang(const GangSnapshot& it) {
     const auto& name = it.gang.job.str();
     if (static_cast<int>(it.placement.tasks.size()) != it.gang.tasks) {
       Fail("gang " + name + " is placed in part");
@@ -80,7 +80,8 @@
       Fail("gang " + name + " is in several racks");
     }
     if (it.placement.borrowed && !it.evicting &&
-        !(it.gang.checkpoint || it.gang.idempotent || it.gang.may_be_lost)) {
+        !(it.gang.checkpointable || it.gang.idempotent ||
+          it.gang.may_be_lost)) {
       Fail("gang " + name + " is borrowed and can't be evicted");
     }
   }
@@ -90,12 +91,12 @@
     std::map<base::WorkerName, int> now;
     std::map<base::WorkerName, int> later;
     std::map<base::WorkerName, std::uint64_t> masks;
-    for (const auto& it : facts_->gangs) {
+    for (const auto& it : snapshot_->gangs) {
       for (const auto& task : it.placement.tasks) {
         const int charge = ChargeOf(it, task);
-        if (!it.arriving) now[task.worker] += charge;
+        if (!it.awaiting_capacity) now[task.worker] += charge;
         if (!it.evicting) later[task.worker] += charge;
-        if (it.arriving) continue;
+        if (it.awaiting_capacity) continue;
         if ((masks[task.worker] & task.accelerators) != 0) {
           Fail("two tasks hold one accelerator of worker " + task.worker.str());
         }
@@ -112,7 +113,7 @@
     }
   }
 
-  void CheckBlock(const BlockFact& it) {
+  void CheckBlock(const BlockSnapshot& it) {
     if (it.parts.empty() || !it.guaranteed) return;
     int sum = 0;
     int broken_workers = 0;
@@ -149,7 +150,7 @@
 
   void CheckDisjoint() {
     std::map<base::WorkerName, int> claimed;
-    for (const auto& it : facts_->blocks) {
+    for (const auto& it : snapshot_->blocks) {
       for (const auto& part : it.parts) {
         claimed[part.worker] += part.accelerators;
       }
@@ -164,13 +165,13 @@
   /// What is not borrowed runs in its own organisation's blocks.
   void CheckOwners() {
     std::map<OrganisationOnWorker, int> claimed;
-    for (const auto& it : facts_->blocks) {
+    for (const auto& it : snapshot_->blocks) {
       for (const auto& part : it.parts) {
         claimed[{it.organisation, part.worker}] += part.accelerators;
       }
     }
     std::map<OrganisationOnWorker, int> own;
-    for (const auto& it : facts_->gangs) {
+    for (const auto& it : snapshot_->gangs) {
       if (it.placement.borrowed) continue;
       for (const auto& task : it.placement.tasks) {
         own[{it.gang.organisation, task.worker}] += ChargeOf(it, task);
@@ -187,10 +188,10 @@
   /// than hardware explains.
   void CheckCounts() {
     std::map<std::pair<base::OrganisationName, Shape>, int> counts;
-    for (const auto& it : facts_->guarantees) {
+    for (const auto& it : snapshot_->guarantees) {
       counts[{it.organisation, it.shape}] += it.count;
     }
-    for (const auto& it : facts_->blocks) {
+    for (const auto& it : snapshot_->blocks) {
       if (it.guaranteed) --counts[{it.organisation, it.shape}];
     }
     for (const auto& [key, missing] : counts) {
@@ -200,13 +201,15 @@
     }
   }
 
-  const CellFacts* facts_;
-  std::map<base::WorkerName, const WorkerFact*> workers_;
+  const CellSnapshot* snapshot_;
+  std::map<base::WorkerName, const WorkerSnapshot*> workers_;
   std::string problem_;
 };
 
 }  // namespace
 
-std::string CheckCell(const CellFacts& facts) { return Checker(facts).Run(); }
+std::string CheckCellInvariant(const CellSnapshot& snapshot) {
+  return Checker(snapshot).Run();
+}
 
 }  // namespace lapishatch::placement
--- a/src/placement/fragmentation.cc
+++ b/src/placement/fragmentation.cc
@@ -4,8 +4,8 @@
 
 namespace lapishatch::placement {
 
-double FragmentationOf(const std::vector<FreeWorker>& workers,
-                       const Shape& shape) {
+double ComputeFragmentation(const std::vector<WorkerFreeCapacity>& workers,
+                            const Shape& shape) {
   const int size = std::max(1, shape.accelerators);
   int racks = 0;
   for (const auto& it : workers) racks = std::max(racks, it.rack + 1);
--- a/src/placement/fragmentation.h
+++ b/src/placement/fragmentation.h
@@ -8,7 +8,7 @@
 namespace lapishatch::placement {
 
 /// What is free on one healthy worker.
-struct FreeWorker {
+struct WorkerFreeCapacity {
   /// Number of its rack, from 0.
   int rack = 0;
   int accelerators = 0;
@@ -18,8 +18,8 @@
 /// Share, from 0 to 1, of the free accelerators that can't serve `shape`: the
 /// free ones less those in as many disjoint blocks of the shape as fit. Blocks
 /// beyond one worker take whole workers. 0 when nothing is free.
-double FragmentationOf(const std::vector<FreeWorker>& workers,
-                       const Shape& shape);
+double ComputeFragmentation(const std::vector<WorkerFreeCapacity>& workers,
+                            const Shape& shape);
 
 }  // namespace lapishatch::placement
 
--- a/src/placement/gang.h
+++ b/src/placement/gang.h
@@ -29,9 +29,9 @@
   TaskNeeds needs;
   Adjacency adjacency = Adjacency::kRack;
   /// May run on capacity that is guaranteed to others, and then be evicted.
-  bool borrow = true;
+  bool allow_borrowing = true;
   /// Can be stopped with a checkpoint and continued later.
-  bool checkpoint = false;
+  bool checkpointable = false;
   /// Can be run again from the start.
   bool idempotent = false;
   /// The submitter accepts that borrowed work which can neither be checkpointed
--- a/src/placement/internal/cell.h
+++ b/src/placement/internal/cell.h
@@ -29,7 +29,7 @@
   /// The part of `used` whose gangs are being evicted.
   int evicting = 0;
   /// Claimed by gangs that wait for evictions.
-  int arriving = 0;
+  int awaiting_capacity = 0;
   /// In guaranteed blocks that are in use.
   int pinned = 0;
   /// In guaranteed blocks that are not in use.
@@ -44,13 +44,13 @@
   bool open() const { return present && health == WorkerHealth::kHealthy; }
 
   /// What is left once all evictions and arrivals under way are done.
-  int left() const { return capacity - used + evicting - arriving; }
+  int left() const { return capacity - used + evicting - awaiting_capacity; }
 
   /// What a new gang can have now without evicting anything. What is free but
   /// claimed is not for it, also when stops under way will make up for it: the
   /// claim would wait for stops that were ordered later.
   int available() const {
-    return open() ? std::max(0, capacity - used - arriving) : 0;
+    return open() ? std::max(0, capacity - used - awaiting_capacity) : 0;
   }
 
   /// What is in no guaranteed block that is in use.
--- a/src/placement/internal/gang_state.h
+++ b/src/placement/internal/gang_state.h
@@ -17,7 +17,7 @@
   /// Has a place, and waits until the gangs evicted for it have ended.
   kArriving,
   kRunning,
-  /// Told to stop; holds its place until Ended.
+  /// Told to stop; holds its place until ReportEnded.
   kEvicting,
 };
 
@@ -67,12 +67,12 @@
 
 /// Whether stopping the gang loses nothing for good.
 inline bool Evictable(const Gang& gang) {
-  return gang.checkpoint || gang.idempotent || gang.may_be_lost;
+  return gang.checkpointable || gang.idempotent || gang.may_be_lost;
 }
 
 /// Whether the gang may run on capacity that is guaranteed to others.
 inline bool MayBorrow(const Gang& gang) {
-  return gang.borrow && Evictable(gang);
+  return gang.allow_borrowing && Evictable(gang);
 }
 
 }  // namespace lapishatch::placement::internal
--- a/src/placement/internal/planner_impl.h
+++ b/src/placement/internal/planner_impl.h
@@ -37,8 +37,8 @@
   void Adopt(const Gang& gang, const GangPlacement& placement,
              base::TimePoint started);
   void Cancel(const base::JobName& job);
-  void Ended(const base::JobName& job, base::TimePoint now);
-  void Checkpointed(const base::JobName& job, base::TimePoint now);
+  void ReportEnded(const base::JobName& job, base::TimePoint now);
+  void ReportCheckpoint(const base::JobName& job, base::TimePoint now);
   void ReportUsage(const base::WorkerName& worker, int cores,
                    std::int64_t memory_mb);
   std::vector<Decision> Decide(base::TimePoint now);
@@ -46,7 +46,7 @@
   Explanation Explain(const base::JobName& job, base::TimePoint now) const;
   int free_accelerators() const;
   double Fragmentation(const Shape& shape) const;
-  CellFacts Facts() const;
+  CellSnapshot Snapshot() const;
 
  private:
   using GangState = internal::GangState;
@@ -243,7 +243,8 @@
   Shape grain_;
   internal::GangQueue queue_;
   std::unordered_map<base::JobName, GangState> gangs_;
-  /// Running, evicting and arriving gangs with a task on each worker.
+  /// Running, evicting gangs, and gangs that wait for capacity, with a task on
+  /// each worker.
   std::vector<std::vector<GangState*>> on_worker_;
   /// Gangs that wait for evictions, in order of arrival.
   std::vector<GangState*> arriving_;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -4,12 +4,12 @@
 /// Umbrella header of the placement package: which gang runs where and whose
 /// capacity it is. Pure.
 
-#include "placement/cell_facts.h"
-#include "placement/failure_ledger.h"
+#include "placement/cell_snapshot.h"
 #include "placement/fragmentation.h"
 #include "placement/gang.h"
 #include "placement/planner.h"
 #include "placement/shape.h"
+#include "placement/start_failure_tracker.h"
 #include "placement/worker_quarantine.h"
 
 #endif  // LAPISHATCH_PLACEMENT_PLACEMENT_H_
--- a/src/placement/planner.cc
+++ b/src/placement/planner.cc
@@ -179,7 +179,7 @@
   }
 }
 
-void Planner::Impl::Ended(const base::JobName& job, base::TimePoint) {
+void Planner::Impl::ReportEnded(const base::JobName& job, base::TimePoint) {
   auto* gang = FindGang(job);
   if (gang == nullptr) return;
   if (gang->phase == GangPhase::kQueued ||
@@ -202,8 +202,8 @@
   RepairBook();
 }
 
-void Planner::Impl::Checkpointed(const base::JobName& job,
-                                 base::TimePoint now) {
+void Planner::Impl::ReportCheckpoint(const base::JobName& job,
+                                     base::TimePoint now) {
   auto* gang = FindGang(job);
   if (gang != nullptr) gang->saved = std::max(gang->saved, now);
 }
@@ -276,11 +276,11 @@
   impl_->Adopt(gang, placement, started);
 }
 void Planner::Cancel(const base::JobName& job) { impl_->Cancel(job); }
-void Planner::Ended(const base::JobName& job, base::TimePoint now) {
-  impl_->Ended(job, now);
+void Planner::ReportEnded(const base::JobName& job, base::TimePoint now) {
+  impl_->ReportEnded(job, now);
 }
-void Planner::Checkpointed(const base::JobName& job, base::TimePoint now) {
-  impl_->Checkpointed(job, now);
+void Planner::ReportCheckpoint(const base::JobName& job, base::TimePoint now) {
+  impl_->ReportCheckpoint(job, now);
 }
 void Planner::ReportUsage(const base::WorkerName& worker, int cores,
                           std::int64_t memory_mb) {
@@ -300,7 +300,9 @@
 double Planner::Fragmentation(const Shape& shape) const {
   return impl_->Fragmentation(shape);
 }
-std::string Planner::CheckInvariant() const { return CheckCell(Facts()); }
-CellFacts Planner::Facts() const { return impl_->Facts(); }
+std::string Planner::CheckInvariant() const {
+  return CheckCellInvariant(Snapshot());
+}
+CellSnapshot Planner::Snapshot() const { return impl_->Snapshot(); }
 
 }  // namespace lapishatch::placement
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/base.h"
-#include "placement/cell_facts.h"
+#include "placement/cell_snapshot.h"
 #include "placement/gang.h"
 #include "placement/shape.h"
 
@@ -23,8 +23,8 @@
 
 /// Stop this running borrowed gang (checkpoint first when it can) because
 /// `for_job` is owed its place, or because its worker must be relieved. The
-/// planner starts `for_job` once Ended is reported for every gang it evicts for
-/// it.
+/// planner starts `for_job` once ReportEnded is reported for every gang it
+/// evicts for it.
 struct EvictGang {
   base::JobName job;
   base::JobName for_job;
@@ -95,8 +95,8 @@
   /// new one).
   void PutWorker(const WorkerSpec& worker);
 
-  /// Forgets a worker; gangs with a task there stay until Ended is reported for
-  /// them.
+  /// Forgets a worker; gangs with a task there stay until ReportEnded is
+  /// reported for them.
   void RemoveWorker(const base::WorkerName& worker);
 
   void SetHealth(const base::WorkerName& worker, WorkerHealth health);
@@ -128,11 +128,11 @@
   /// A started or evicted gang holds its place no longer. An evicted one that
   /// is to run again is submitted again by the caller, with its first
   /// submission time.
-  void Ended(const base::JobName& job, base::TimePoint now);
+  void ReportEnded(const base::JobName& job, base::TimePoint now);
 
   /// A running gang has a complete checkpoint as of `now`: evicting it loses
   /// only what it did since.
-  void Checkpointed(const base::JobName& job, base::TimePoint now);
+  void ReportCheckpoint(const base::JobName& job, base::TimePoint now);
 
   /// Late usage reports: what the tasks on a worker really take. The planner
   /// answers with evictions from Decide when the worker is about to be
@@ -157,8 +157,8 @@
   /// what is broken, or empty.
   std::string CheckInvariant() const;
 
-  /// The cell as plain facts, for CheckCell and for reports.
-  CellFacts Facts() const;
+  /// The cell as plain snapshot, for CheckCellInvariant and for reports.
+  CellSnapshot Snapshot() const;
 
  private:
   class Impl;
--- a/src/placement/planner_decide.cc
+++ b/src/placement/planner_decide.cc
@@ -21,7 +21,7 @@
 constexpr double kUnderGuaranteeUnsaved = 8;
 /// What is held back may be used by work that is stopped at little cost.
 bool MayBackfill(const Gang& gang) {
-  return gang.checkpoint || gang.work_class == base::WorkClass::kUrgent;
+  return gang.checkpointable || gang.work_class == base::WorkClass::kUrgent;
 }
 
 /// What it costs to put work where it is stopped for a starving gang.
@@ -56,11 +56,11 @@
 }
 
 void Planner::Impl::StartArrivals(base::TimePoint now) {
-  const auto arriving = arriving_;
+  const auto awaiting_capacity = arriving_;
   // First come, first served: what an earlier one waits for is not given to a
   // later one, so that no one waits longer than its own victims may take.
   std::map<internal::WorkerIndex, int> promised;
-  for (auto* it : arriving) {
+  for (auto* it : awaiting_capacity) {
     const bool free =
         std::all_of(it->place.begin(), it->place.end(), [&](const auto& slot) {
           const auto& worker = cell_.at(slot.worker);
@@ -85,7 +85,8 @@
   return std::all_of(place.begin(), place.end(), [&](const auto& it) {
     const auto& worker = cell_.at(it.worker);
     return worker.open() &&
-           worker.used + worker.arriving + it.total() <= worker.capacity;
+           worker.used + worker.awaiting_capacity + it.total() <=
+               worker.capacity;
   });
 }
 
@@ -164,7 +165,7 @@
     rooms[it].accelerators = worker.available();
     if (worker.slack() < worker.available()) {
       rooms[it].cost =
-          gang.gang.checkpoint ? kUnderGuarantee : kUnderGuaranteeUnsaved;
+          gang.gang.checkpointable ? kUnderGuarantee : kUnderGuaranteeUnsaved;
     }
     if (worker.held && !holder) rooms[it].cost += kBackfill;
   }
--- a/src/placement/planner_evict.cc
+++ b/src/placement/planner_evict.cc
@@ -56,7 +56,7 @@
   if (gang.phase == GangPhase::kArriving) return 0;
   const double ran = Seconds(now - gang.started);
   const double weight = gang.charge() * WeightOf(gang.gang);
-  if (!gang.gang.checkpoint) return (ran + 1) * weight;
+  if (!gang.gang.checkpointable) return (ran + 1) * weight;
   const double unsaved = Seconds(now - gang.saved);
   const double lost =
       std::min(ran, kCheckpointSeconds) + kCheckpointFailures * unsaved;
@@ -78,7 +78,7 @@
   if (gang.phase == GangPhase::kArriving) return gang.borrowed();
   if (gang.phase != GangPhase::kRunning) return false;
   return gang.borrowed() ||
-         (victims == Victims::kMovable && gang.gang.checkpoint);
+         (victims == Victims::kMovable && gang.gang.checkpointable);
 }
 
 Planner::Impl::Clearing Planner::Impl::Clear(const Place& place,
--- a/src/placement/planner_explain.cc
+++ b/src/placement/planner_explain.cc
@@ -99,10 +99,11 @@
 
 std::string Planner::Impl::WhyNotOwn(const Gang& gang) const {
   const std::string why_not_borrow =
-      gang.borrow ? "its work can neither be checkpointed nor run again, so it "
-                    "may not run on capacity that others can reclaim (unless "
-                    "it is submitted as work that may be lost)"
-                  : "it is submitted with borrow = false";
+      gang.allow_borrowing
+          ? "its work can neither be checkpointed nor run again, so it "
+            "may not run on capacity that others can reclaim (unless "
+            "it is submitted as work that may be lost)"
+          : "it is submitted with borrow = false";
   int largest = 0;
   int total = 0;
   for (const auto& it : guarantees_) {
@@ -181,45 +182,46 @@
 }
 
 double Planner::Impl::Fragmentation(const Shape& shape) const {
-  std::vector<FreeWorker> workers;
+  std::vector<WorkerFreeCapacity> workers;
   for (const auto& it : cell_.workers()) {
     if (!it.open()) continue;
     workers.push_back({.rack = it.rack,
                        .accelerators = it.capacity,
                        .free = it.capacity - it.used});
   }
-  return FragmentationOf(workers, shape);
+  return ComputeFragmentation(workers, shape);
 }
 
-CellFacts Planner::Impl::Facts() const {
-  CellFacts facts;
+CellSnapshot Planner::Impl::Snapshot() const {
+  CellSnapshot snapshot;
   for (internal::WorkerIndex it = 0; it < cell_.size(); ++it) {
     const auto& worker = cell_.at(it);
-    facts.workers.push_back({cell_.spec(it), worker.health, worker.present});
+    snapshot.workers.push_back({cell_.spec(it), worker.health, worker.present});
   }
-  facts.guarantees = guarantees_;
+  snapshot.guarantees = guarantees_;
   for (const auto& [job, gang] : gangs_) {
     if (gang.phase == GangPhase::kQueued) continue;
-    facts.gangs.push_back({.gang = gang.gang,
-                           .placement = PlacementOf(gang),
-                           .evicting = gang.phase == GangPhase::kEvicting,
-                           .arriving = gang.phase == GangPhase::kArriving});
+    snapshot.gangs.push_back(
+        {.gang = gang.gang,
+         .placement = PlacementOf(gang),
+         .evicting = gang.phase == GangPhase::kEvicting,
+         .awaiting_capacity = gang.phase == GangPhase::kArriving});
   }
-  std::sort(facts.gangs.begin(), facts.gangs.end(),
+  std::sort(snapshot.gangs.begin(), snapshot.gangs.end(),
             [](auto& a, auto& b) { return a.gang.job < b.gang.job; });
   for (const auto& it : book_.blocks()) {
     if (it.dead) continue;
-    BlockFact block{.organisation = it.organisation,
-                    .shape = it.shape,
-                    .guaranteed = !it.retiring,
-                    .intact = it.placed() && book_.Intact(it),
-                    .gangs = it.gangs};
+    BlockSnapshot block{.organisation = it.organisation,
+                        .shape = it.shape,
+                        .guaranteed = !it.retiring,
+                        .intact = it.placed() && book_.Intact(it),
+                        .gang_count = it.gangs};
     for (const auto& piece : it.pieces) {
       block.parts.push_back({cell_.spec(piece.worker).name, piece.count});
     }
-    facts.blocks.push_back(std::move(block));
+    snapshot.blocks.push_back(std::move(block));
   }
-  return facts;
+  return snapshot;
 }
 
 }  // namespace lapishatch::placement
--- a/src/placement/planner_places.cc
+++ b/src/placement/planner_places.cc
@@ -64,7 +64,7 @@
 void Planner::Impl::ClaimPlace(GangState& gang) {
   gang.phase = GangPhase::kArriving;
   for (const auto& it : gang.place) {
-    cell_.at(it.worker).arriving += it.total();
+    cell_.at(it.worker).awaiting_capacity += it.total();
     on_worker_[it.worker].push_back(&gang);
   }
   AccountOf(gang.gang.organisation).running += gang.charge();
@@ -73,7 +73,7 @@
 
 void Planner::Impl::DropClaim(GangState& gang) {
   for (const auto& it : gang.place) {
-    cell_.at(it.worker).arriving -= it.total();
+    cell_.at(it.worker).awaiting_capacity -= it.total();
     std::erase(on_worker_[it.worker], &gang);
   }
   AccountOf(gang.gang.organisation).running -= gang.charge();
@@ -173,8 +173,8 @@
 void Planner::Impl::RepairBook() {
   Changed();
   // An arrival whose worker was lost on the way waits again.
-  const auto arriving = arriving_;
-  for (auto* it : arriving) {
+  const auto awaiting_capacity = arriving_;
+  for (auto* it : awaiting_capacity) {
     const bool lost = std::any_of(
         it->place.begin(), it->place.end(),
         [&](const auto& slot) { return !cell_.at(slot.worker).open(); });
--- a/src/placement/failure_ledger.cc
+++ b/src/placement/start_failure_tracker.cc
@@ -1,25 +1,25 @@
-#include "placement/failure_ledger.h"
+#include "placement/start_failure_tracker.h"
 
 #include <algorithm>
 
 namespace lapishatch::placement {
 
-Blame FailureLedger::Failed(const base::JobName& job,
-                            const base::WorkerName& worker,
-                            base::TimePoint now) {
+FailureCause StartFailureTracker::RecordFailure(const base::JobName& job,
+                                                const base::WorkerName& worker,
+                                                base::TimePoint now) {
   Expire(now);
   Erase(job, worker);
-  order_.push_back({now, job, worker});
+  failures_.push_back({now, job, worker});
   by_job_[job].insert(worker);
   by_worker_[worker].insert(job);
-  if (JobBlamed(job)) return Blame::kJob;
-  if (WitnessesAgainst(worker) >= options_.jobs_to_blame_worker) {
-    return Blame::kWorker;
+  if (IsJobAtFault(job)) return FailureCause::kJob;
+  if (CountFailedJobs(worker) >= options_.min_jobs_failed_on_worker) {
+    return FailureCause::kWorker;
   }
-  return Blame::kNobody;
+  return FailureCause::kUnknown;
 }
 
-bool FailureLedger::JobBlamed(const base::JobName& job) const {
+bool StartFailureTracker::IsJobAtFault(const base::JobName& job) const {
   const auto it = by_job_.find(job);
   if (it == by_job_.end()) return false;
   // Workers that fail everybody say nothing about this job.
@@ -28,62 +28,64 @@
         const auto& jobs = by_worker_.at(on);
         const auto others =
             std::count_if(jobs.begin(), jobs.end(), [&](const auto& other) {
-              return other != job &&
-                     by_job_.at(other).size() < options_.workers_to_blame_job;
+              return other != job && by_job_.at(other).size() <
+                                         options_.min_workers_failed_by_job;
             });
-        return static_cast<std::size_t>(others) < options_.jobs_to_blame_worker;
+        return static_cast<std::size_t>(others) <
+               options_.min_jobs_failed_on_worker;
       });
-  return static_cast<std::size_t>(sound) >= options_.workers_to_blame_job;
+  return static_cast<std::size_t>(sound) >= options_.min_workers_failed_by_job;
 }
 
-std::size_t FailureLedger::WitnessesAgainst(
+std::size_t StartFailureTracker::CountFailedJobs(
     const base::WorkerName& worker) const {
   const auto it = by_worker_.find(worker);
   if (it == by_worker_.end()) return 0;
   return static_cast<std::size_t>(
       std::count_if(it->second.begin(), it->second.end(),
-                    [&](const auto& job) { return !JobBlamed(job); }));
+                    [&](const auto& job) { return !IsJobAtFault(job); }));
 }
 
-void FailureLedger::Started(const base::JobName& job,
-                            const base::WorkerName& worker) {
+void StartFailureTracker::RecordStart(const base::JobName& job,
+                                      const base::WorkerName& worker) {
   // It can start something, and the job can start somewhere.
   Forget(worker);
   Forget(job);
 }
 
-void FailureLedger::Forget(const base::JobName& job) {
+void StartFailureTracker::Forget(const base::JobName& job) {
   const auto it = by_job_.find(job);
   if (it == by_job_.end()) return;
   const auto workers = it->second;
   for (const auto& worker : workers) Erase(job, worker);
 }
 
-void FailureLedger::Forget(const base::WorkerName& worker) {
+void StartFailureTracker::Forget(const base::WorkerName& worker) {
   const auto it = by_worker_.find(worker);
   if (it == by_worker_.end()) return;
   const auto jobs = it->second;
   for (const auto& job : jobs) Erase(job, worker);
 }
 
-std::vector<base::WorkerName> FailureLedger::FailedOn(
+std::vector<base::WorkerName> StartFailureTracker::FailedOn(
     const base::JobName& job) const {
   const auto it = by_job_.find(job);
   if (it == by_job_.end()) return {};
   return {it->second.begin(), it->second.end()};
 }
 
-void FailureLedger::Expire(base::TimePoint now) {
-  while (!order_.empty() && (now - order_.front().when > options_.window ||
-                             order_.size() >= options_.limit)) {
-    const auto oldest = order_.front();
+void StartFailureTracker::Expire(base::TimePoint now) {
+  while (!failures_.empty() &&
+         (now - failures_.front().when > options_.window ||
+          failures_.size() >= options_.max_failures)) {
+    const auto oldest = failures_.front();
     Erase(oldest.job, oldest.worker);
   }
 }
 
-void FailureLedger::Erase(const base::JobName& job,
-                          const base::WorkerName& worker) {
-  std::erase_if(order_, [&](const Failure& it) {
+void StartFailureTracker::Erase(const base::JobName& job,
+                                const base::WorkerName& worker) {
+  std::erase_if(failures_, [&](const Failure& it) {
     return it.job == job && it.worker == worker;
   });
   const auto by_job = by_job_.find(job);
--- a/src/placement/failure_ledger.h
+++ b/src/placement/start_failure_tracker.h
@@ -1,5 +1,5 @@
-#ifndef LAPISHATCH_PLACEMENT_FAILURE_LEDGER_H_
-#define LAPISHATCH_PLACEMENT_FAILURE_LEDGER_H_
+#ifndef LAPISHATCH_PLACEMENT_START_FAILURE_TRACKER_H_
+#define LAPISHATCH_PLACEMENT_START_FAILURE_TRACKER_H_
 
 #include <cstddef>
 #include <deque>
@@ -12,9 +12,9 @@
 namespace lapishatch::placement {
 
 /// Who is to blame for failed starts.
-enum class Blame : std::uint8_t {
+enum class FailureCause : std::uint8_t {
   /// Too little is known.
-  kNobody,
+  kUnknown,
   /// Different jobs fail on the worker, and they run elsewhere or have hardly
   /// been tried there.
   kWorker,
@@ -27,29 +27,30 @@
 /// of distinct workers on which it fails; a job that is blamed counts against
 /// no worker, and a worker that is blamed against no job, so that one bad job
 /// can't take workers out and one bad worker can't condemn jobs. Pure.
-class FailureLedger {
+class StartFailureTracker {
  public:
   struct Options {
     /// Distinct jobs that fail on a worker, and on no other that starts them.
-    std::size_t jobs_to_blame_worker = 3;
+    std::size_t min_jobs_failed_on_worker = 3;
     /// Distinct workers on which a job fails.
-    std::size_t workers_to_blame_job = 3;
+    std::size_t min_workers_failed_by_job = 3;
     /// Older failures are forgotten.
     base::Duration window{1'800'000};
     /// Failures remembered at most.
-    std::size_t limit = 10'000;
+    std::size_t max_failures = 10'000;
   };
 
-  FailureLedger() : FailureLedger(Options()) {}
-  explicit FailureLedger(Options options) : options_(options) {}
+  StartFailureTracker() : StartFailureTracker(Options()) {}
+  explicit StartFailureTracker(Options options) : options_(options) {}
 
   /// A start of `job` on `worker` has failed. Returns who is to blame by now.
-  Blame Failed(const base::JobName& job, const base::WorkerName& worker,
-               base::TimePoint now);
+  FailureCause RecordFailure(const base::JobName& job,
+                             const base::WorkerName& worker,
+                             base::TimePoint now);
 
   /// `job` runs on `worker`: what failed there before was not the worker's
   /// fault, or has passed.
-  void Started(const base::JobName& job, const base::WorkerName& worker);
+  void RecordStart(const base::JobName& job, const base::WorkerName& worker);
 
   /// The job is gone, or the worker is released: forget its failures.
   void Forget(const base::JobName& job);
@@ -58,7 +59,7 @@
   /// Workers on which a job has lately failed, so that it is tried elsewhere.
   std::vector<base::WorkerName> FailedOn(const base::JobName& job) const;
 
-  std::size_t size() const { return order_.size(); }
+  std::size_t size() const { return failures_.size(); }
 
  private:
   struct Failure {
@@ -67,13 +68,13 @@
     base::WorkerName worker;
   };
 
-  bool JobBlamed(const base::JobName& job) const;
-  std::size_t WitnessesAgainst(const base::WorkerName& worker) const;
+  bool IsJobAtFault(const base::JobName& job) const;
+  std::size_t CountFailedJobs(const base::WorkerName& worker) const;
   void Expire(base::TimePoint now);
   void Erase(const base::JobName& job, const base::WorkerName& worker);
 
   Options options_;
-  std::deque<Failure> order_;
+  std::deque<Failure> failures_;
   std::map<base::JobName, std::set<base::WorkerName>> by_job_;
   std::map<base::WorkerName, std::set<base::JobName>> by_worker_;
 };
@@ -82,10 +83,10 @@
 
 namespace lapishatch::base {
 template <>
-struct EnumNames<placement::Blame> {
+struct EnumNames<placement::FailureCause> {
   static constexpr std::array<std::string_view, 3> kNames = {"nobody", "worker",
                                                              "job"};
 };
 }  // namespace lapishatch::base
 
-#endif  // LAPISHATCH_PLACEMENT_FAILURE_LEDGER_H_
+#endif  // LAPISHATCH_PLACEMENT_START_FAILURE_TRACKER_H_
--- a/src/placement/worker_quarantine.cc
+++ b/src/placement/worker_quarantine.cc
@@ -9,31 +9,33 @@
   const auto most = std::max<std::size_t>(
       1, static_cast<std::size_t>(options_.max_share *
                                   static_cast<double>(cell_size)));
-  if (out_ >= most) return false;
+  if (quarantined_count_ >= most) return false;
   const auto [it, added] = entries_.try_emplace(
       worker,
-      Entry{base::Backoff(options_.first, options_.longest), false, now});
+      Entry{base::Backoff(options_.initial_duration, options_.max_duration),
+            false, now});
   auto& entry = it->second;
-  if (entry.out) return false;
-  if (now - entry.when >= options_.forgiven_after) entry.backoff.Reset();
-  entry.out = true;
-  entry.when = now + entry.backoff.Next(random_);
-  ++out_;
+  if (entry.quarantined) return false;
+  if (now - entry.changes_at >= options_.reset_after) entry.backoff.Reset();
+  entry.quarantined = true;
+  entry.changes_at = now + entry.backoff.Next(random_);
+  ++quarantined_count_;
   return true;
 }
 
-std::vector<base::WorkerName> WorkerQuarantine::Release(base::TimePoint now) {
+std::vector<base::WorkerName> WorkerQuarantine::ReleaseExpired(
+    base::TimePoint now) {
   std::vector<base::WorkerName> released;
   for (auto it = entries_.begin(); it != entries_.end();) {
     auto& entry = it->second;
-    if (entry.out && entry.when <= now) {
-      entry.out = false;
-      --out_;
+    if (entry.quarantined && entry.changes_at <= now) {
+      entry.quarantined = false;
+      --quarantined_count_;
       released.push_back(it->first);
     }
-    const bool forgiven =
-        !entry.out && now - entry.when >= options_.forgiven_after;
-    it = forgiven ? entries_.erase(it) : std::next(it);
+    const bool expired =
+        !entry.quarantined && now - entry.changes_at >= options_.reset_after;
+    it = expired ? entries_.erase(it) : std::next(it);
   }
   return released;
 }
@@ -41,19 +43,19 @@
 void WorkerQuarantine::Remove(const base::WorkerName& worker) {
   const auto it = entries_.find(worker);
   if (it == entries_.end()) return;
-  if (it->second.out) --out_;
+  if (it->second.quarantined) --quarantined_count_;
   entries_.erase(it);
 }
 
 bool WorkerQuarantine::Contains(const base::WorkerName& worker) const {
   const auto it = entries_.find(worker);
-  return it != entries_.end() && it->second.out;
+  return it != entries_.end() && it->second.quarantined;
 }
 
 base::TimePoint WorkerQuarantine::NextRelease() const {
   auto next = base::TimePoint::max();
   for (const auto& [worker, entry] : entries_) {
-    if (entry.out) next = std::min(next, entry.when);
+    if (entry.quarantined) next = std::min(next, entry.changes_at);
   }
   return next;
 }
--- a/src/placement/worker_quarantine.h
+++ b/src/placement/worker_quarantine.h
@@ -21,10 +21,11 @@
     /// Most workers out at once, as a share of the cell, rounded down, but one
     /// at least.
     double max_share = 0.2;
-    base::Duration first{60'000};
-    base::Duration longest{3'600'000};
-    /// A worker that has been well for so long starts from `first` again.
-    base::Duration forgiven_after{7'200'000};
+    base::Duration initial_duration{60'000};
+    base::Duration max_duration{3'600'000};
+    /// A worker that has been well for so long starts from `initial_duration`
+    /// again.
+    base::Duration reset_after{7'200'000};
     std::uint64_t seed = 1;
   };
 
@@ -37,14 +38,14 @@
            base::TimePoint now);
 
   /// Workers whose time is over; they are in again.
-  std::vector<base::WorkerName> Release(base::TimePoint now);
+  std::vector<base::WorkerName> ReleaseExpired(base::TimePoint now);
 
   /// An operator lets a worker in again, or it has left the cell.
   void Remove(const base::WorkerName& worker);
 
   bool Contains(const base::WorkerName& worker) const;
 
-  std::size_t size() const { return out_; }
+  std::size_t size() const { return quarantined_count_; }
 
   /// When the next one is released; the far future when none is out.
   base::TimePoint NextRelease() const;
@@ -52,14 +53,14 @@
  private:
   struct Entry {
     base::Backoff backoff;
-    bool out = false;
+    bool quarantined = false;
     /// While out: when it is released; while in: since when.
-    base::TimePoint when;
+    base::TimePoint changes_at;
   };
 
   Options options_;
   base::Random random_;
-  std::size_t out_ = 0;
+  std::size_t quarantined_count_ = 0;
   std::map<base::WorkerName, Entry> entries_;
 };
 
--- a/src/scheduler/job_board.cc
+++ b/src/scheduler/job_board.cc
@@ -31,8 +31,8 @@
   gang.tasks = spec.tasks;
   gang.needs = spec.needs;
   gang.adjacency = spec.adjacency;
-  gang.borrow = spec.borrow;
-  gang.checkpoint = spec.checkpoint;
+  gang.allow_borrowing = spec.borrow;
+  gang.checkpointable = spec.checkpoint;
   gang.idempotent = spec.idempotent;
   gang.may_be_lost = spec.may_be_lost;
   gang.declared_runtime = spec.declared_runtime;
@@ -237,12 +237,12 @@
   const bool needs_record = !job->accepted.spec.idempotent;
   if (needs_record && ports_.recorder.table_out()) {
     job->stage = Stage::kParked;
-    ports_.planner.Ended(decision.job, ports_.loop.Now());
+    ports_.planner.ReportEnded(decision.job, ports_.loop.Now());
     return replan_();
   }
   auto intent = IntentOf(*job, decision.placement);
   if (!intent) {
-    ports_.planner.Ended(decision.job, ports_.loop.Now());
+    ports_.planner.ReportEnded(decision.job, ports_.loop.Now());
     return SubmitAfter(*job, job->retry.Next(random_),
                        "a worker of its place has left");
   }
--- a/src/scheduler/job_board_ends.cc
+++ b/src/scheduler/job_board_ends.cc
@@ -124,7 +124,7 @@
   const auto runner = it->second;
   active_.erase(it);
   ending_.emplace(runner->intent().attempt, runner);
-  ports_.planner.Ended(gang.job(), ports_.loop.Now());
+  ports_.planner.ReportEnded(gang.job(), ports_.loop.Now());
   replan_();
   NoteStartOutcome(gang, ended);
   NoteAtLarge(gang);
--- a/test/placement/cell_builder.h
+++ b/test/placement/cell_builder.h
@@ -38,7 +38,7 @@
                 .cores = accelerators * 8,
                 .memory_mb = accelerators * kShareMb};
   gang.adjacency = adjacency;
-  gang.checkpoint = true;
+  gang.checkpointable = true;
   gang.idempotent = true;
   return gang;
 }
--- a/test/placement/history.cc
+++ b/test/placement/history.cc
@@ -87,9 +87,9 @@
       "job" + std::to_string(next_job_++), kOrganisations[step.a % 3], tasks,
       std::min(size, accelerators_), static_cast<Adjacency>(step.c / 3 % 3));
   gang.work_class = static_cast<base::WorkClass>(step.b / 4 % 3);
-  gang.checkpoint = step.c / 9 % 3 == 0;
+  gang.checkpointable = step.c / 9 % 3 == 0;
   gang.idempotent = step.c / 9 % 3 == 1;
-  gang.borrow = step.b / 12 % 4 != 0;
+  gang.allow_borrowing = step.b / 12 % 4 != 0;
   gang.submitted = now_;
   if (planner_.Submit(gang, now_).empty()) queued_[gang.job] = gang;
 }
@@ -100,7 +100,7 @@
   const auto gang = it->second.gang;
   const bool again = it->second.evicting;
   running_.erase(it);
-  planner_.Ended(gang.job, now_);
+  planner_.ReportEnded(gang.job, now_);
   if (again && planner_.Submit(gang, now_).empty()) queued_[gang.job] = gang;
 }
 
@@ -192,7 +192,7 @@
       if (gang == running_.end()) return "evicted what does not run";
       if (gang->second.evicting) return "evicted twice";
       const auto& victim = gang->second.gang;
-      if (!victim.checkpoint && !victim.idempotent && !victim.may_be_lost) {
+      if (!victim.checkpointable && !victim.idempotent && !victim.may_be_lost) {
         return "evicted what can't be evicted";
       }
       gang->second.evicting = true;
@@ -208,12 +208,12 @@
   auto problem = planner_.CheckInvariant();
   if (!problem.empty()) return problem;
   int missing = 0;
-  for (const auto& it : planner_.Facts().blocks) {
-    if (it.gangs == 0 && it.parts.empty()) ++missing;
+  for (const auto& it : planner_.Snapshot().blocks) {
+    if (it.gang_count == 0 && it.parts.empty()) ++missing;
   }
   if (missing == 0) return {};
   if (!lost_) return "a guarantee fell short though no hardware was lost";
-  if (PackingOracle(planner_.Facts()).Fits()) {
+  if (PackingOracle(planner_.Snapshot()).Fits()) {
     return "a guarantee is said to be short, but all fit";
   }
   return {};
--- a/test/placement/packing_oracle.h
+++ b/test/placement/packing_oracle.h
@@ -15,17 +15,17 @@
 /// the planner has chosen for them.
 class PackingOracle {
  public:
-  explicit PackingOracle(const CellFacts& facts) {
+  explicit PackingOracle(const CellSnapshot& snapshot) {
     std::map<base::WorkerName, int> index;
-    for (const auto& it : facts.workers) {
+    for (const auto& it : snapshot.workers) {
       const bool open = it.present && it.health == WorkerHealth::kHealthy;
       index[it.spec.name] = static_cast<int>(room_.size());
       room_.push_back(open ? it.spec.accelerators : 0);
       rack_.push_back(it.spec.rack);
       size_ = it.spec.accelerators;
     }
-    for (const auto& block : facts.blocks) {
-      if (block.gangs == 0) {
+    for (const auto& block : snapshot.blocks) {
+      if (block.gang_count == 0) {
         shapes_.push_back(block.shape);
         continue;
       }
--- a/test/placement/planner_test.cc
+++ b/test/placement/planner_test.cc
@@ -40,7 +40,7 @@
   CHECK(std::get<EvictGang>(decisions[0]).job == JobName("borrowed"));
   CHECK(planner.CheckInvariant() == kNoProblem);
   CHECK(planner.Decide(now).empty());
-  planner.Ended(JobName("borrowed"), now);
+  planner.ReportEnded(JobName("borrowed"), now);
   decisions = planner.Decide(now);
   REQUIRE(decisions.size() == 1);
   CHECK(std::get<StartGang>(decisions[0]).job == JobName("owned"));
--- a/test/placement/policy_test.cc
+++ b/test/placement/policy_test.cc
@@ -53,7 +53,7 @@
   auto urgent = MakeGang("urgent", "c", 1, 8);
   urgent.work_class = base::WorkClass::kUrgent;
   planner.Submit(urgent, At(3 * 3600));
-  planner.Ended(JobName("running"), At(3 * 3600));
+  planner.ReportEnded(JobName("running"), At(3 * 3600));
   CHECK(Started(planner.Decide(At(3 * 3600))) == Jobs{"quiet"});
 }
 
@@ -82,7 +82,7 @@
   greedy.needs.memory_mb = 1'000'000;
   CHECK(planner.Submit(greedy, At(0)).find("1000000 MB") != std::string::npos);
   auto fragile = MakeGang("e", "a", 1, 1);
-  fragile.checkpoint = false;
+  fragile.checkpointable = false;
   fragile.idempotent = false;
   CHECK(planner.Submit(fragile, At(0)).find("has no guarantee here") !=
         std::string::npos);
@@ -128,7 +128,7 @@
   REQUIRE(planner.SetGuarantees(
               {MakeGuarantee("a", 8, Adjacency::kWorker, 1)}) == kNoProblem);
   auto claim = MakeGang("claim", "a", 1, 8);
-  claim.checkpoint = false;
+  claim.checkpointable = false;
   claim.idempotent = false;
   auto second = claim;
   second.job = JobName("second");
@@ -137,7 +137,7 @@
   const auto decisions = planner.Decide(At(1));
   REQUIRE(Started(decisions).size() == 1);
   CHECK_FALSE(std::get<StartGang>(decisions[0]).placement.borrowed);
-  planner.Ended(claim.job, At(100'000));
+  planner.ReportEnded(claim.job, At(100'000));
   CHECK(Started(planner.Decide(At(100'000))) == Jobs{"second"});
 }
 
@@ -159,9 +159,9 @@
   REQUIRE(planner.SetGuarantees({MakeGuarantee("owner", 8, Adjacency::kWorker,
                                                1)}) == kNoProblem);
   auto old = MakeGang("old", "other", 1, 8);
-  old.checkpoint = false;
+  old.checkpointable = false;
   auto young = MakeGang("young", "other", 1, 8);
-  young.checkpoint = false;
+  young.checkpointable = false;
   planner.Submit(old, At(0));
   planner.Decide(At(0));
   planner.Submit(young, At(5000));
@@ -185,9 +185,9 @@
   REQUIRE(for_four.size() == 2);
   planner.Submit(MakeGang("two", "later", 1, 2), At(102));
   REQUIRE(Evicted(planner.Decide(At(102))).size() == 1);
-  planner.Ended(JobName(for_four[0]), At(103));
+  planner.ReportEnded(JobName(for_four[0]), At(103));
   CHECK(Started(planner.Decide(At(103))).empty());
-  planner.Ended(JobName(for_four[1]), At(104));
+  planner.ReportEnded(JobName(for_four[1]), At(104));
   CHECK(Started(planner.Decide(At(104))) == Jobs{"four"});
 }
 
@@ -204,10 +204,10 @@
   planner.Submit(fresh, At(5));
   planner.Submit(MakeGang("owned", "owner", 1, 8), At(10));
   CHECK(Evicted(planner.Decide(At(10))) == Jobs{"old"});
-  planner.Ended(JobName("old"), At(12));
+  planner.ReportEnded(JobName("old"), At(12));
   planner.Submit(old, At(12));
   CHECK(Started(planner.Decide(At(12))) == Jobs{"owned"});
-  planner.Ended(JobName("owned"), At(60));
+  planner.ReportEnded(JobName("owned"), At(60));
   CHECK(Started(planner.Decide(At(60))) == Jobs{"fresh"});
 }
 
@@ -237,14 +237,14 @@
   CHECK(Started(planner.Decide(At(0))).size() == 3);
   planner.Submit(MakeGang("claims", "first", 1, 4), At(100));
   CHECK(Evicted(planner.Decide(At(100))).size() == 2);
-  planner.Ended(JobName("quiet0"), At(101));
+  planner.ReportEnded(JobName("quiet0"), At(101));
   CHECK(planner.Decide(At(101)).empty());
   planner.Submit(MakeGang("later", "second", 1, 1), At(102));
   planner.Submit(MakeGang("small", "third", 1, 2), At(102));
   const auto decisions = planner.Decide(At(102));
   CHECK(Evicted(decisions) == Jobs{"normal"});
   CHECK(Started(decisions).empty());
-  planner.Ended(JobName("quiet1"), At(103));
+  planner.ReportEnded(JobName("quiet1"), At(103));
   CHECK(Started(planner.Decide(At(103))) == Jobs{"claims"});
 }
 
@@ -272,7 +272,7 @@
   planner.Submit(MakeGang("large", "b", 8, 8), At(1));
   CHECK(Started(planner.Decide(At(1))).size() == 64);
   for (int i = 0; i < 64; ++i) {
-    planner.Ended(JobName("j" + std::to_string(i)), At(2));
+    planner.ReportEnded(JobName("j" + std::to_string(i)), At(2));
   }
   CHECK(Started(planner.Decide(At(2))) == Jobs{"large"});
 }
@@ -290,7 +290,7 @@
   CHECK(planner.Decide(At(300)).empty());
   const auto evicted = Evicted(planner.Decide(At(3000)));
   CHECK(evicted.size() == 4);
-  for (const auto& it : evicted) planner.Ended(JobName(it), At(3005));
+  for (const auto& it : evicted) planner.ReportEnded(JobName(it), At(3005));
   CHECK(Started(planner.Decide(At(3005))) == Jobs{"large"});
 }
 
@@ -317,7 +317,7 @@
 TEST_CASE("a starving gang gets its place from work that can't be saved") {
   auto planner = MakeCell(1);
   auto endless = MakeGang("endless", "a", 1, 8);
-  endless.checkpoint = false;
+  endless.checkpointable = false;
   planner.Submit(endless, At(0));
   planner.Decide(At(0));
   planner.Submit(MakeGang("waiting", "b", 1, 8), At(10));
@@ -338,7 +338,7 @@
   for (int now = 10; now < 40'000; now += 10) {
     for (const auto& it : Evicted(planner.Decide(At(now)))) {
       CHECK(it == running);
-      planner.Ended(JobName(it), At(now));
+      planner.ReportEnded(JobName(it), At(now));
       const auto next = Started(planner.Decide(At(now)));
       REQUIRE(next.size() == 1);
       running = next.front();
@@ -359,20 +359,20 @@
   }
   planner.Decide(At(0));
   // One half of each worker comes free.
-  const auto facts = planner.Facts();
+  const auto snapshot = planner.Snapshot();
   std::vector<base::WorkerName> seen;
-  for (const auto& it : facts.gangs) {
+  for (const auto& it : snapshot.gangs) {
     const auto& worker = it.placement.tasks[0].worker;
     if (std::find(seen.begin(), seen.end(), worker) != seen.end()) continue;
     seen.push_back(worker);
-    planner.Ended(it.gang.job, At(100));
+    planner.ReportEnded(it.gang.job, At(100));
   }
   REQUIRE(planner.free_accelerators() == 12);
   planner.Submit(MakeGang("large", "b", 1, 8), At(100));
   CHECK(planner.Decide(At(100)).empty());
   const auto evicted = Evicted(planner.Decide(At(1000)));
   REQUIRE(evicted.size() == 1);
-  planner.Ended(JobName(evicted[0]), At(1005));
+  planner.ReportEnded(JobName(evicted[0]), At(1005));
   planner.Submit(MakeGang(evicted[0], "a", 1, 4), At(1005));
   CHECK(Started(planner.Decide(At(1005))).size() == 2);
 }
@@ -390,7 +390,7 @@
   CHECK(planner.Decide(At(30)).empty());
   planner.ReportUsage(MakeWorker(0).name, 8, 255'000);
   CHECK(Evicted(planner.Decide(At(60))) == Jobs{"greedy"});
-  planner.Ended(JobName("greedy"), At(65));
+  planner.ReportEnded(JobName("greedy"), At(65));
   auto again = MakeGang("greedy", "a", 1, 1);
   again.needs.memory_mb = 20'000;
   REQUIRE(planner.Submit(again, At(65)).empty());
--- a/test/placement/quarantine_test.cc
+++ b/test/placement/quarantine_test.cc
@@ -11,49 +11,63 @@
 using base::WorkerName;
 
 TEST_CASE("a worker that fails different jobs is to blame") {
-  FailureLedger ledger;
+  StartFailureTracker tracker;
   const WorkerName bad("bad");
-  CHECK(ledger.Failed(JobName("a"), bad, At(0)) == Blame::kNobody);
-  CHECK(ledger.Failed(JobName("a"), bad, At(1)) == Blame::kNobody);
-  CHECK(ledger.Failed(JobName("b"), bad, At(2)) == Blame::kNobody);
-  CHECK(ledger.Failed(JobName("c"), bad, At(3)) == Blame::kWorker);
+  CHECK(tracker.RecordFailure(JobName("a"), bad, At(0)) ==
+        FailureCause::kUnknown);
+  CHECK(tracker.RecordFailure(JobName("a"), bad, At(1)) ==
+        FailureCause::kUnknown);
+  CHECK(tracker.RecordFailure(JobName("b"), bad, At(2)) ==
+        FailureCause::kUnknown);
+  CHECK(tracker.RecordFailure(JobName("c"), bad, At(3)) ==
+        FailureCause::kWorker);
 }
 
 TEST_CASE("a job that fails on different workers is to blame, not they") {
-  FailureLedger ledger;
+  StartFailureTracker tracker;
   const JobName bad("bad");
-  CHECK(ledger.Failed(bad, WorkerName("a"), At(0)) == Blame::kNobody);
-  CHECK(ledger.Failed(bad, WorkerName("b"), At(1)) == Blame::kNobody);
-  CHECK(ledger.Failed(bad, WorkerName("c"), At(2)) == Blame::kJob);
+  CHECK(tracker.RecordFailure(bad, WorkerName("a"), At(0)) ==
+        FailureCause::kUnknown);
+  CHECK(tracker.RecordFailure(bad, WorkerName("b"), At(1)) ==
+        FailureCause::kUnknown);
+  CHECK(tracker.RecordFailure(bad, WorkerName("c"), At(2)) ==
+        FailureCause::kJob);
   // Its failures count against no worker: two others are not enough.
-  CHECK(ledger.Failed(JobName("x"), WorkerName("a"), At(3)) == Blame::kNobody);
-  CHECK(ledger.Failed(JobName("y"), WorkerName("a"), At(4)) == Blame::kNobody);
-  CHECK(ledger.Failed(JobName("z"), WorkerName("a"), At(5)) == Blame::kWorker);
+  CHECK(tracker.RecordFailure(JobName("x"), WorkerName("a"), At(3)) ==
+        FailureCause::kUnknown);
+  CHECK(tracker.RecordFailure(JobName("y"), WorkerName("a"), At(4)) ==
+        FailureCause::kUnknown);
+  CHECK(tracker.RecordFailure(JobName("z"), WorkerName("a"), At(5)) ==
+        FailureCause::kWorker);
 }
 
 TEST_CASE("bad workers do not condemn the jobs that meet them") {
-  FailureLedger ledger;
+  StartFailureTracker tracker;
   for (const std::string worker : {"a", "b", "c"}) {
     for (const std::string job : {"x", "y", "z"}) {
-      ledger.Failed(JobName(job + worker), WorkerName(worker), At(0));
+      tracker.RecordFailure(JobName(job + worker), WorkerName(worker), At(0));
     }
   }
-  CHECK(ledger.Failed(JobName("s"), WorkerName("a"), At(2)) == Blame::kWorker);
-  CHECK(ledger.Failed(JobName("s"), WorkerName("b"), At(3)) == Blame::kWorker);
-  CHECK(ledger.Failed(JobName("s"), WorkerName("c"), At(4)) == Blame::kWorker);
+  CHECK(tracker.RecordFailure(JobName("s"), WorkerName("a"), At(2)) ==
+        FailureCause::kWorker);
+  CHECK(tracker.RecordFailure(JobName("s"), WorkerName("b"), At(3)) ==
+        FailureCause::kWorker);
+  CHECK(tracker.RecordFailure(JobName("s"), WorkerName("c"), At(4)) ==
+        FailureCause::kWorker);
 }
 
 TEST_CASE("a start that succeeds clears worker and job; time does too") {
-  FailureLedger ledger;
+  StartFailureTracker tracker;
   const WorkerName worker("w");
-  ledger.Failed(JobName("a"), worker, At(0));
-  ledger.Failed(JobName("b"), worker, At(0));
-  ledger.Started(JobName("c"), worker);
-  CHECK(ledger.size() == 0);
-  ledger.Failed(JobName("a"), worker, At(0));
-  ledger.Failed(JobName("b"), worker, At(0));
-  CHECK(ledger.Failed(JobName("c"), worker, At(3600)) == Blame::kNobody);
-  CHECK(ledger.FailedOn(JobName("a")).empty());
+  tracker.RecordFailure(JobName("a"), worker, At(0));
+  tracker.RecordFailure(JobName("b"), worker, At(0));
+  tracker.RecordStart(JobName("c"), worker);
+  CHECK(tracker.size() == 0);
+  tracker.RecordFailure(JobName("a"), worker, At(0));
+  tracker.RecordFailure(JobName("b"), worker, At(0));
+  CHECK(tracker.RecordFailure(JobName("c"), worker, At(3600)) ==
+        FailureCause::kUnknown);
+  CHECK(tracker.FailedOn(JobName("a")).empty());
 }
 
 TEST_CASE("quarantine takes a bounded share of the cell") {
@@ -76,9 +90,9 @@
     REQUIRE(quarantine.Add(worker, 50, now));
     const auto until = quarantine.NextRelease();
     spans.push_back(until - now);
-    CHECK(quarantine.Release(until - Duration(1)).empty());
+    CHECK(quarantine.ReleaseExpired(until - Duration(1)).empty());
     now = until;
-    REQUIRE(quarantine.Release(now).size() == 1);
+    REQUIRE(quarantine.ReleaseExpired(now).size() == 1);
     CHECK_FALSE(quarantine.Contains(worker));
   }
   CHECK(spans.front() <= Duration(60'000));
@@ -87,7 +101,7 @@
   CHECK(spans.back() <= Duration(3'600'000));
   // After a long time in good health it starts small again.
   now += Duration(7'200'000);
-  quarantine.Release(now);
+  quarantine.ReleaseExpired(now);
   REQUIRE(quarantine.Add(worker, 50, now));
   CHECK(quarantine.NextRelease() - now <= Duration(60'000));
 }
@@ -98,7 +112,7 @@
   std::set<base::TimePoint> releases;
   while (quarantine.size() > 0) {
     releases.insert(quarantine.NextRelease());
-    quarantine.Release(quarantine.NextRelease());
+    quarantine.ReleaseExpired(quarantine.NextRelease());
   }
   CHECK(releases.size() >= 8);
 }
