--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -11,14 +11,14 @@
 
 using QueueName = base::Id<struct QueueTag>;
 
-/// What a task takes of a worker, and what a worker has.
+/// Resources that a task requires or that a worker offers.
 struct Resources {
   /// Thousandths of a core.
   std::int64_t cpu_millis = 0;
   std::int64_t memory_mb = 0;
   std::int64_t accelerators = 0;
 
-  /// Whether `needs` fits in here.
+  /// Whether every dimension is at least that of `needs`.
   bool Covers(const Resources& needs) const {
     return cpu_millis >= needs.cpu_millis && memory_mb >= needs.memory_mb &&
            accelerators >= needs.accelerators;
@@ -41,39 +41,43 @@
   friend bool operator==(const Resources&, const Resources&) = default;
 };
 
-/// Some tasks alike, which may begin once all tasks of the steps before have
-/// ended well.
+/// A group of identical tasks, which may start once all tasks of the steps in
+/// `depends_on` have succeeded.
 struct Step {
   int tasks = 1;
+  /// Requested for each task.
   Resources needs;
-  /// The submitter's guess of one task's run time.
+  /// The submitter's estimate of one task's run time.
   base::Duration run_time_estimate{0};
-  /// Numbers of earlier steps.
+  /// Indices of earlier steps.
   std::vector<int> depends_on;
-  /// Tasks save what they did from time to time and can go on from there.
+  /// Tasks save checkpoints periodically and can resume from them.
   bool supports_checkpoints = false;
-  /// All tasks run at the same time or none does; the end of one is the end of
-  /// all.
+  /// Gang scheduling: all tasks run at the same time or none does, and the end
+  /// of one task ends all of them.
   bool is_gang = false;
-  /// A gang that is spread over racks is several times as slow.
+  /// The gang runs several times slower when it is spread over several racks.
   bool prefers_single_rack = false;
-  /// Several copies of a task may run; the first end counts.
+  /// Several copies of a task may run at once; the first to end counts.
   bool allows_speculative_copies = false;
-  /// Runs until the job is cancelled; started again however it ends.
+  /// Runs until the job is cancelled; restarted whatever its result.
   bool is_service = false;
-  /// Workers without it may not run the step; empty for any.
+  /// Only workers with this label may run the step; empty for any worker.
   std::string required_label;
-  /// Elsewhere the tasks are several times as slow; empty for none.
+  /// The tasks run several times slower on other racks; empty for no
+  /// preference.
   base::RackName preferred_rack;
-  /// Most tasks of the step on one worker at a time; 0 for no limit.
+  /// Limit on concurrent tasks of the step on one worker; 0 for no limit.
   int max_tasks_per_worker = 0;
-  /// Runs beside others in what they leave: its processor need is not counted.
+  /// Runs on CPU time that other tasks leave idle: its CPU request is not
+  /// counted.
   bool uses_spare_cpu = false;
 
   friend bool operator==(const Step&, const Step&) = default;
 };
 
-/// When the steps run: once at once, or `times` times from `first_due_ms` on.
+/// When the steps run: once, immediately, if `repeat_count` is 0, otherwise
+/// `repeat_count` times from `first_due_ms` on.
 struct Schedule {
   int repeat_count = 0;
   /// Milliseconds since 1970.
@@ -83,37 +87,38 @@
   friend bool operator==(const Schedule&, const Schedule&) = default;
 };
 
-/// A job as it was accepted, with what its queue said at that moment.
+/// A job as accepted, with the settings of its queue at that time.
 struct Job {
   base::JobName name;
-  /// Handed to every task as it is.
+  /// Passed unchanged to every task.
   std::string spec;
   std::vector<Step> steps;
   Schedule schedule;
   QueueName queue;
   base::ServiceName service;
   base::OrganisationName organisation;
-  /// 0 goes first and may take the place of others.
+  /// 0 is the highest priority and may preempt other jobs.
   int priority = 0;
-  /// Runs of a task, or of a gang, that may fail before the job has failed.
+  /// Number of failed runs of one task, or of one gang, after which the job
+  /// fails.
   int max_attempts = 1;
-  /// The objective: the longest chain of estimates times this, and
-  /// `target_latency` more.
+  /// The latency objective is the longest chain of run time estimates times
+  /// `slack_factor`, plus `target_latency`.
   double slack_factor = 1;
   base::Duration target_latency{0};
-  /// Of the entry's clock, milliseconds since 1970; only for logs and for
-  /// weighing how late a job is.
+  /// Milliseconds since 1970 by the entry's clock; used only in logs and to
+  /// compute how late a job is.
   std::int64_t accepted_ms = 0;
 
   friend bool operator==(const Job&, const Job&) = default;
 };
 
-/// A job's occurrences: a job without a schedule has one.
+/// Number of occurrences of a job; a job without a schedule has one.
 inline int OccurrenceCount(const Job& job) {
   return job.schedule.repeat_count > 0 ? job.schedule.repeat_count : 1;
 }
 
-/// Names one task. The text is "job/occurrence/step/index".
+/// Identifies one task. Its text form is "job/occurrence/step/index".
 struct TaskName {
   base::JobName job;
   int occurrence = 0;
@@ -123,7 +128,7 @@
   friend auto operator<=>(const TaskName&, const TaskName&) = default;
 };
 
-/// What a caller is told of a job.
+/// The state of a job as reported to callers.
 enum class JobState : std::uint8_t {
   kQueued,
   kRunning,
@@ -132,7 +137,7 @@
   kCancelled,
 };
 
-/// Whether nothing of the job will run any more.
+/// Whether no task of the job will run again.
 constexpr bool IsFinal(JobState state) {
   return state != JobState::kQueued && state != JobState::kRunning;
 }
--- a/src/jobs/job_rows.cc
+++ b/src/jobs/job_rows.cc
@@ -13,15 +13,16 @@
 
 namespace json = boost::json;
 
-std::string Text(const json::string& text) {
+std::string ToStdString(const json::string& text) {
   return {text.data(), text.size()};
 }
 
-/// Reads members of an object whose writer is this file. A member of another
-/// type makes the whole text unreadable.
-class Reader {
+/// Reads members of a JSON object written by this file. Absent members read as
+/// zero, false or empty; a member of the wrong type throws, so that decoding
+/// the whole text fails.
+class ObjectReader {
  public:
-  explicit Reader(const json::object& object) : object_(object) {}
+  explicit ObjectReader(const json::object& object) : object_(object) {}
 
   std::int64_t Number(std::string_view key) const {
     const auto* value = Find(key);
@@ -40,7 +41,7 @@
 
   std::string String(std::string_view key) const {
     const auto* value = Find(key);
-    return value == nullptr ? std::string() : Text(value->as_string());
+    return value == nullptr ? std::string() : ToStdString(value->as_string());
   }
 
   const json::array& Array(std::string_view key) const {
@@ -57,7 +58,7 @@
   const json::object& object_;
 };
 
-json::object Encode(const Step& step) {
+json::object EncodeStep(const Step& step) {
   json::object out;
   out["tasks"] = step.tasks;
   out["cpu"] = step.needs.cpu_millis;
@@ -81,7 +82,7 @@
 }
 
 Step DecodeStep(const json::object& object) {
-  const Reader reader(object);
+  const ObjectReader reader(object);
   Step out;
   out.tasks = static_cast<int>(reader.Number("tasks"));
   out.needs = {reader.Number("cpu"), reader.Number("memory"),
@@ -102,10 +103,10 @@
   return out;
 }
 
-/// Positional, since a row has one for each task that has begun and holds 64
-/// KB: occurrence, step, index, phase, last run, failures, last failed run,
-/// checkpoint, workers, and, if there are any, worker losses as member, count
-/// and suspicion for each task.
+/// Positional to save space, since a row holds at most 64 KB and has one entry
+/// for each started task: occurrence, step, index, phase, last run, failures,
+/// last failed run, checkpoint, workers, and, if there are any, worker losses
+/// as member, count and suspicion for each task.
 json::array EncodeUnit(const UnitRecord& unit) {
   json::array out{unit.occurrence,     unit.step,
                   unit.index,          static_cast<int>(unit.phase),
@@ -126,12 +127,13 @@
   return out;
 }
 
-/// Units of one step that are done, as ranges of their indices: nothing else of
-/// them is needed any more, and a wide step has many. The ranges follow the
-/// occurrence and the step, each as its first index and its length.
+/// Encodes the units that are done as index ranges for each step: none of their
+/// other fields are needed, and a wide step has many units. A step's array
+/// holds the occurrence and the step, then the first index and length of each
+/// range.
 class DoneRanges {
  public:
-  /// Units come in order.
+  /// Units must be added in order.
   void Add(const UnitRecord& unit) {
     const bool is_same_step =
         !out_.empty() && step_ == std::pair(unit.occurrence, unit.step);
@@ -158,10 +160,10 @@
   int length_ = 0;
 };
 
-/// Reads what DoneRanges wrote; at most `kMostTasks` of a range, whatever it
-/// says.
+/// Decodes a step written by DoneRanges. A range longer than `kMaxRangeLength`
+/// is rejected, so that a malformed row cannot exhaust memory.
 void DecodeDone(const json::array& step, std::vector<UnitRecord>& out) {
-  constexpr int kMostTasks = 100'000;
+  constexpr int kMaxRangeLength = 100'000;
   UnitRecord unit;
   unit.occurrence = step.at(0).to_number<int>();
   unit.step = step.at(1).to_number<int>();
@@ -169,8 +171,8 @@
   for (std::size_t i = 2; i < step.size(); i += 2) {
     const auto first = step.at(i).to_number<int>();
     const auto length = step.at(i + 1).to_number<int>();
-    if (length < 0 || length > kMostTasks) {
-      throw std::invalid_argument("a range of units");
+    if (length < 0 || length > kMaxRangeLength) {
+      throw std::invalid_argument("invalid length of a unit range");
     }
     for (int n = 0; n < length; ++n) {
       unit.index = first + n;
@@ -188,14 +190,14 @@
   out.last_run = fields.at(4).to_number<int>();
   out.failures = fields.at(5).to_number<int>();
   out.last_failed_run = fields.at(6).to_number<int>();
-  constexpr std::size_t kWithWorkers = 9;
-  if (fields.size() < kWithWorkers) return out;
-  out.checkpoint = Text(fields.at(7).as_string());
+  constexpr std::size_t kFieldsWithWorkers = 9;
+  if (fields.size() < kFieldsWithWorkers) return out;
+  out.checkpoint = ToStdString(fields.at(7).as_string());
   for (const auto& it : fields.at(8).as_array()) {
-    out.workers.emplace_back(Text(it.as_string()));
+    out.workers.emplace_back(ToStdString(it.as_string()));
   }
-  if (fields.size() == kWithWorkers) return out;
-  const auto& losses = fields.at(kWithWorkers).as_array();
+  if (fields.size() == kFieldsWithWorkers) return out;
+  const auto& losses = fields.at(kFieldsWithWorkers).as_array();
   constexpr std::size_t kFieldsPerTask = 3;
   for (std::size_t i = 0; i < losses.size(); i += kFieldsPerTask) {
     out.losses.push_back({losses.at(i).to_number<int>(),
@@ -205,7 +207,7 @@
   return out;
 }
 
-/// Parses `text` and lets `read` take it apart; nothing where either fails.
+/// Parses `text` and decodes it with `read`; nullopt if either fails.
 template <typename Read>
 auto Decode(std::string_view text, Read read)
     -> std::optional<decltype(read(json::object()))> {
@@ -217,15 +219,16 @@
   }
 }
 
-/// The parts of one kind of a service, `count` of them.
-std::vector<std::string> NumberedParts(const std::string& prefix, int count) {
+/// `count` partition names: `prefix` followed by 0, 1 and so on.
+std::vector<std::string> NumberedPartitions(const std::string& prefix,
+                                            int count) {
   std::vector<std::string> out;
   out.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) out.push_back(prefix + std::to_string(i));
   return out;
 }
 
-std::string RequestPrefix(const base::ServiceName& service) {
+std::string RequestPartitionPrefix(const base::ServiceName& service) {
   return service.str() + ".r";
 }
 
@@ -245,17 +248,18 @@
 }
 
 std::vector<std::string> ProgressPartitions(const base::ServiceName& service) {
-  return NumberedParts(service.str() + '.', kProgressPartitionCount);
+  return NumberedPartitions(service.str() + '.', kProgressPartitionCount);
 }
 
 std::string RequestPartition(const base::ServiceName& service,
                              const base::JobName& job) {
-  return RequestPrefix(service) +
+  return RequestPartitionPrefix(service) +
          std::to_string(HashOf(job) % kRequestPartitionCount);
 }
 
 std::vector<std::string> RequestPartitions(const base::ServiceName& service) {
-  return NumberedParts(RequestPrefix(service), kRequestPartitionCount);
+  return NumberedPartitions(RequestPartitionPrefix(service),
+                            kRequestPartitionCount);
 }
 
 std::string WaitingCountsPartition(const base::ServiceName& service) {
@@ -267,7 +271,7 @@
   out["name"] = job.name.str();
   out["spec"] = job.spec;
   json::array steps;
-  for (const auto& it : job.steps) steps.push_back(Encode(it));
+  for (const auto& it : job.steps) steps.push_back(EncodeStep(it));
   out["steps"] = std::move(steps);
   if (job.schedule.repeat_count > 0) {
     out["times"] = job.schedule.repeat_count;
@@ -287,7 +291,7 @@
 
 std::optional<Job> DecodeJob(std::string_view text) {
   return Decode(text, [](const json::object& object) {
-    const Reader reader(object);
+    const ObjectReader reader(object);
     Job out;
     out.name = base::JobName(reader.String("name"));
     out.spec = reader.String("spec");
@@ -327,7 +331,7 @@
 
 std::optional<JobProgress> DecodeProgress(std::string_view text) {
   return Decode(text, [](const json::object& object) {
-    const Reader reader(object);
+    const ObjectReader reader(object);
     JobProgress out;
     out.state = static_cast<JobState>(reader.Number("state"));
     for (const auto& it : reader.Array("units")) {
--- a/src/jobs/job_rows.h
+++ b/src/jobs/job_rows.h
@@ -12,17 +12,19 @@
 
 namespace lapishatch::jobs {
 
-/// Tables. The store does the transactions of one part one after another, and a
-/// slow one takes most of a second for each. Requests and progress lie in parts
-/// of their own: an entry writes one job at a time and so needs many parts, the
-/// owner writes many jobs at once and fences each of its parts when it begins.
+/// Tables. A partition is a `part` of store::RowStore. The store executes the
+/// transactions of one partition serially, and a slow store takes most of a
+/// second for each. Requests and progress have separate partitions: an entry
+/// writes one job per transaction and therefore needs many partitions, while
+/// the owner writes many jobs per transaction and fences each of its partitions
+/// when it starts.
 ///
-/// | table | part | key | written by |
+/// | table | partition | key | written by |
 /// | --- | --- | --- | --- |
-/// | requests | of RequestPartitions | job | the entry that accepts it, once |
-/// | requests | the same | job + kCancelSuffix | the entry that cancels it |
-/// | progress | of ProgressPartitions | job | the owner |
-/// | waiting | WaitingCountsPartition | kWaitingCountsKey | the owner |
+/// | requests | one of RequestPartitions | job | the entry that accepts it,
+/// once | | requests | the same | job + kCancelSuffix | the entry that cancels
+/// it | | progress | one of ProgressPartitions | job | the owner | | waiting |
+/// WaitingCountsPartition | kWaitingCountsKey | the owner |
 inline constexpr std::string_view kRequestTable = "requests";
 inline constexpr std::string_view kProgressTable = "progress";
 inline constexpr std::string_view kWaitingCountsTable = "waiting";
@@ -32,37 +34,37 @@
 inline constexpr int kProgressPartitionCount = 8;
 
 /// Many, since a slow store takes most of a second for each transaction and
-/// every job that is accepted is one.
+/// each accepted job takes one transaction.
 inline constexpr int kRequestPartitionCount = 64;
 
-/// The part of a job's progress.
+/// The partition of a job's progress row.
 std::string ProgressPartition(const base::ServiceName& service,
                               const base::JobName& job);
 
-/// All parts with progress of a service, in order.
+/// All progress partitions of a service, ordered by index.
 std::vector<std::string> ProgressPartitions(const base::ServiceName& service);
 
-/// The index in ProgressPartitions of a job's part.
+/// The index of a job's partition in ProgressPartitions.
 int ProgressPartitionIndex(const base::JobName& job);
 
-/// The part of a job's request and of its cancelling, and all of them.
+/// The partition of a job's request row and cancellation row, and all request
+/// partitions of a service.
 std::string RequestPartition(const base::ServiceName& service,
                              const base::JobName& job);
 std::vector<std::string> RequestPartitions(const base::ServiceName& service);
 
-/// The part of the counts of waiting jobs. It is not that of the owner's lease,
-/// whose renewals must not wait for anything else.
+/// The partition of the waiting job counts. It differs from that of the owner's
+/// lease, whose renewals must not queue behind other transactions.
 std::string WaitingCountsPartition(const base::ServiceName& service);
 
-/// The rows' values: compact JSON. The readers give nothing for a text that
-/// makes no sense.
+/// Row values are compact JSON. The decoders return nullopt for malformed text.
 std::string EncodeJob(const Job& job);
 std::optional<Job> DecodeJob(std::string_view text);
 
 std::string EncodeProgress(const JobProgress& progress);
 std::optional<JobProgress> DecodeProgress(std::string_view text);
 
-/// For each queue, how many of its jobs no task of which has begun.
+/// For each queue, the number of its jobs of which no task has started.
 using WaitingJobCounts = std::map<QueueName, int>;
 std::string EncodeWaitingCounts(const WaitingJobCounts& waiting);
 std::optional<WaitingJobCounts> DecodeWaitingCounts(std::string_view text);
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -16,9 +16,9 @@
 using store::RowsResult;
 using store::UnknownOutcome;
 
-store::RowRange OneRow(std::string_view table, const std::string& part,
+store::RowRange OneRow(std::string_view table, const std::string& partition,
                        const std::string& key) {
-  return {std::string(table), part, key, store::KeyAfter(key), 1};
+  return {std::string(table), partition, key, store::KeyAfter(key), 1};
 }
 
 std::string CancelKey(const base::JobName& name) {
@@ -29,33 +29,34 @@
 
 void JobService::Submit(const Job& job,
                         std::function<void(SubmitResult)> done) {
-  const auto part = RequestPartition(job.service, job.name);
+  const auto partition = RequestPartition(job.service, job.name);
   const std::string table(kRequestTable);
   const auto key = job.name.str();
-  store_.Commit({part,
-                 {{table, key, store::kAbsent}},
-                 {{table, key, EncodeJob(job)}},
-                 {}},
-                [this, part, key, done = std::move(done)](RowsResult result) {
-                  if (auto* not_done = std::get_if<NotDone>(&result)) {
-                    return done(JobNotAccepted{std::move(not_done->detail)});
-                  }
-                  auto* unknown = std::get_if<UnknownOutcome>(&result);
-                  // A conflict means that an earlier request of this name
-                  // stands there.
-                  if (unknown == nullptr) return done(JobAccepted{});
-                  store_.Read(OneRow(kRequestTable, part, key),
-                              [done, detail = std::move(unknown->detail)](
-                                  const RowsReadResult& read) {
-                                const auto* rows = std::get_if<RowsRead>(&read);
-                                if (rows != nullptr && !rows->rows.empty()) {
-                                  return done(JobAccepted{});
-                                }
-                                // Not there yet: the write may still take
-                                // effect.
-                                done(JobOutcomeUnknown{detail});
-                              });
-                });
+  store_.Commit(
+      {partition,
+       {{table, key, store::kAbsent}},
+       {{table, key, EncodeJob(job)}},
+       {}},
+      [this, partition, key, done = std::move(done)](RowsResult result) {
+        if (auto* not_done = std::get_if<NotDone>(&result)) {
+          return done(JobNotAccepted{std::move(not_done->detail)});
+        }
+        auto* unknown = std::get_if<UnknownOutcome>(&result);
+        // A conflict means that an earlier request stored a job
+        // of this name.
+        if (unknown == nullptr) return done(JobAccepted{});
+        store_.Read(OneRow(kRequestTable, partition, key),
+                    [done, detail = std::move(unknown->detail)](
+                        const RowsReadResult& read) {
+                      const auto* rows = std::get_if<RowsRead>(&read);
+                      if (rows != nullptr && !rows->rows.empty()) {
+                        return done(JobAccepted{});
+                      }
+                      // The row is absent, but the write may still
+                      // take effect.
+                      done(JobOutcomeUnknown{detail});
+                    });
+      });
 }
 
 void JobService::ReadState(const base::ServiceName& service,
@@ -91,19 +92,19 @@
 void JobService::Cancel(const base::ServiceName& service,
                         const base::JobName& name,
                         std::function<void(CancelResult)> done) {
-  const auto part = RequestPartition(service, name);
+  const auto partition = RequestPartition(service, name);
   store_.Read(
-      OneRow(kRequestTable, part, name.str()),
-      [this, part, name, done = std::move(done)](RowsReadResult result) {
+      OneRow(kRequestTable, partition, name.str()),
+      [this, partition, name, done = std::move(done)](RowsReadResult result) {
         if (const auto* failed = std::get_if<ReadFailed>(&result)) {
           return done(JobStoreUnavailable{failed->detail});
         }
         const auto& rows = std::get<RowsRead>(result).rows;
         if (rows.empty()) return done(NoSuchJob{});
         const std::string table(kRequestTable);
-        // The row of a cancelling says nothing but that it is there, so one
-        // that is written twice does no harm and needs no condition on itself.
-        store_.Commit({part,
+        // Only the existence of the cancellation row matters, so writing it
+        // twice is harmless and needs no condition on the row itself.
+        store_.Commit({partition,
                        {{table, name.str(), rows.front().version}},
                        {{table, CancelKey(name), "{}"}},
                        {}},
@@ -129,7 +130,9 @@
                   return done(JobStoreUnavailable{failed->detail});
                 }
                 const auto& rows = std::get<RowsRead>(result).rows;
-                // Before the owner's first row no job has been accepted long.
+                // The owner has not written the row yet, so no job has been
+                // waiting
+                // for long.
                 if (rows.empty()) return done(0);
                 const auto waiting = DecodeWaitingCounts(rows.front().value);
                 if (!waiting)
--- a/src/jobs/job_service.h
+++ b/src/jobs/job_service.h
@@ -11,22 +11,23 @@
 
 namespace lapishatch::jobs {
 
-/// The job stands in the store; now or from an earlier request of its name.
+/// The job is in the store, written by this request or by an earlier one with
+/// the same name.
 struct JobAccepted {};
 
-/// The job does not stand in the store, and this request will not put it there.
+/// This request did not write the job to the store and will not do so later.
 struct JobNotAccepted {
   std::string detail;
 };
 
-/// The store did not say.
+/// It is unknown whether the store wrote the job.
 struct JobOutcomeUnknown {
   std::string detail;
 };
 
 struct NoSuchJob {};
 
-/// The store could not be read.
+/// The store could not be read, or did not confirm a cancellation.
 struct JobStoreUnavailable {
   std::string detail;
 };
@@ -35,15 +36,16 @@
     std::variant<JobAccepted, JobNotAccepted, JobOutcomeUnknown>;
 using StateResult = std::variant<JobState, NoSuchJob, JobStoreUnavailable>;
 
-/// The cancelling stands in the store, or the job has ended before.
+/// The cancellation is in the store; it has no effect if the job has already
+/// ended.
 struct JobCancelled {};
 
 using CancelResult = std::variant<JobCancelled, NoSuchJob, JobStoreUnavailable>;
 using WaitingCountResult = std::variant<int, JobStoreUnavailable>;
 
-/// Accepts, shows and cancels jobs, on behalf of any front. Keeps nothing: each
-/// answer is as of the store. One call costs one transaction or one read, in
-/// some cases two.
+/// Accepts and cancels jobs and reads their state, for any front end.
+/// Stateless: every answer comes from the store. A call costs one transaction
+/// or one read, in some cases two operations.
 class JobService {
  public:
   explicit JobService(store::RowStore& store) : store_(store) {}
@@ -57,7 +59,8 @@
   void Cancel(const base::ServiceName& service, const base::JobName& name,
               std::function<void(CancelResult)> done);
 
-  /// Jobs of `queue` none of whose tasks has begun, as the owner last wrote.
+  /// Number of jobs of `queue` of which no task has started, as last written by
+  /// the owner.
   void ReadWaitingCount(const base::ServiceName& service,
                         const QueueName& queue,
                         std::function<void(WaitingCountResult)> done);
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,9 +1,9 @@
 #ifndef LAPISHATCH_JOBS_JOBS_H_
 #define LAPISHATCH_JOBS_JOBS_H_
 
-/// Umbrella header of the jobs package: jobs of steps and tasks, the queues
-/// that take them, their rows in the store, and the service that accepts, shows
-/// and cancels them.
+/// Umbrella header of the jobs package: jobs with their steps and tasks, the
+/// queues that accept them, their rows in the store, and the service that
+/// accepts and cancels jobs and reads their state.
 
 #include "jobs/job.h"
 #include "jobs/job_rows.h"
--- a/src/jobs/progress.h
+++ b/src/jobs/progress.h
@@ -10,12 +10,12 @@
 
 namespace lapishatch::jobs {
 
-/// How far a unit is: the tasks of a gang together, or one task by itself.
+/// Phase of a unit, which is all tasks of a gang or a single task.
 enum class UnitPhase : std::uint8_t {
-  /// Not begun, or ended otherwise than well: may be started when all its
-  /// former runs are certain to be over.
+  /// Not started, or ended without success: may be started once all its earlier
+  /// runs are certain to have ended.
   kWaiting,
-  /// A start is recorded: from then on it may run.
+  /// The start is recorded, so the unit may be running.
   kStarted,
   kDone,
 };
@@ -32,24 +32,25 @@
   friend bool operator==(const TaskLosses&, const TaskLosses&) = default;
 };
 
-/// What is recorded of a unit. A unit without a record waits for its first run;
-/// of one that is done only its name and phase are recorded.
+/// The stored record of a unit. A unit without a record waits for its first
+/// run; the record of a unit that is done holds only its position and phase.
 struct UnitRecord {
   int occurrence = 0;
   int step = 0;
-  /// Of its first task.
+  /// Index of the unit's first task.
   int index = 0;
   UnitPhase phase = UnitPhase::kWaiting;
-  /// Runs that failed.
+  /// Number of failed runs.
   int failures = 0;
-  /// The last run that counts among them, 0 for none: the end of a run may be
-  /// listed again to the next owner, and counts once.
+  /// The last run counted in `failures`, 0 for none. A run's end may be
+  /// reported again to the next owner, so it is compared with this to be
+  /// counted once.
   int last_failed_run = 0;
-  /// The number of its last run, 0 for none; the next has a higher one.
+  /// Number of the last run, 0 for none; the next run has a higher number.
   int last_run = 0;
-  /// Of an earlier run; empty for none.
+  /// Checkpoint of an earlier run; empty for none.
   std::string checkpoint;
-  /// Where the started run was sent, one worker a task.
+  /// Workers that the started run was sent to, one per task.
   std::vector<base::WorkerName> workers;
   /// One entry for each task that lost a worker.
   std::vector<TaskLosses> losses;
@@ -57,7 +58,7 @@
   friend bool operator==(const UnitRecord&, const UnitRecord&) = default;
 };
 
-/// What the owner of a job has recorded of it.
+/// The progress of a job as recorded by its owner.
 struct JobProgress {
   JobState state = JobState::kQueued;
   std::vector<UnitRecord> units;
--- a/src/jobs/queue_table.h
+++ b/src/jobs/queue_table.h
@@ -13,54 +13,54 @@
 
 namespace lapishatch::jobs {
 
-/// Where jobs are handed in: requests to `host` whose path begins with
-/// `prefix`.
+/// A queue accepts jobs from requests to `host` whose path starts with
+/// `path_prefix`.
 struct Queue {
   QueueName name;
   std::string host;
   std::string path_prefix;
-  /// Whose workers run the jobs.
+  /// The service whose workers run the jobs.
   base::ServiceName service;
   int priority = 0;
   int max_attempts = 1;
   double slack_factor = 1;
   base::Duration target_latency{0};
-  /// Needs no key.
+  /// Requests need no API key.
   bool is_public = false;
 };
 
-/// An organisation as the queues see it.
+/// The API keys and the guarantee of an organisation.
 struct QueueOrganisation {
   base::OrganisationName name;
   std::vector<std::string> api_keys;
-  /// Accelerators that its jobs of priority 0 may have at any time.
+  /// Accelerators that are guaranteed at any time to its jobs of priority 0.
   std::int64_t guaranteed_accelerators = 0;
 };
 
-/// One accepted configuration of queues and keys.
+/// One accepted version of the queues and API keys.
 struct QueueConfiguration {
   std::uint64_t version = 0;
   std::vector<Queue> queues;
   std::vector<QueueOrganisation> organisations;
 };
 
-/// A configuration in force, made quick to look up. Never changed once made.
+/// Immutable lookup index of a configuration in force.
 class QueueTable {
  public:
   explicit QueueTable(QueueConfiguration configuration);
 
   const QueueConfiguration& configuration() const { return configuration_; }
 
-  /// The queue of `host` (a port behind it is ignored) with the longest prefix
-  /// of `path`, or null.
+  /// The queue of `host` with the longest path_prefix that matches `path`, or
+  /// null. A port in `host` is ignored.
   const Queue* FindQueue(std::string_view host, std::string_view path) const;
 
-  /// Whose key it is, or null.
+  /// The organisation that has the API key, or null.
   const QueueOrganisation* FindOrganisationByKey(std::string_view key) const;
 
  private:
   QueueConfiguration configuration_;
-  /// By host, longest prefix first.
+  /// Queues by host, longest path_prefix first.
   std::map<std::string, std::vector<const Queue*>, std::less<>> by_host_;
   std::map<std::string, const QueueOrganisation*, std::less<>> by_key_;
 };
--- a/test/jobs/jobs_test.cc
+++ b/test/jobs/jobs_test.cc
@@ -38,14 +38,14 @@
   return out;
 }
 
-TEST_CASE("a job survives being written and read") {
+TEST_CASE("a job is unchanged by encoding and decoding") {
   const auto job = MakeJob("0123456789abcdef");
   const auto read = DecodeJob(EncodeJob(job));
   REQUIRE(read);
   CHECK(*read == job);
 }
 
-TEST_CASE("rows that make no sense give nothing") {
+TEST_CASE("malformed rows are not decoded") {
   for (const auto* text : {"", "x", "[]", R"({"steps":1})", R"({"name":2})"}) {
     CHECK_FALSE(DecodeJob(text));
   }
@@ -53,7 +53,7 @@
   CHECK_FALSE(DecodeWaitingCounts("[]"));
 }
 
-TEST_CASE("what is done of a wide job takes little of its row") {
+TEST_CASE("completed units of a wide job are stored compactly") {
   JobProgress progress;
   constexpr int kTasks = 400;
   constexpr int kRuns = 200;
@@ -70,7 +70,7 @@
   CHECK(DecodeProgress(text) == progress);
 }
 
-TEST_CASE("worker losses of the tasks of a unit are stored in its row") {
+TEST_CASE("worker losses of the tasks of a unit are stored in its record") {
   JobProgress progress;
   UnitRecord unit;
   unit.last_run = 4;
@@ -81,7 +81,7 @@
       R"({"state":1,"units":[[0,0,0,0,1,0,0,"",[],[0,1]]],"done":[]})"));
 }
 
-TEST_CASE("ranges of units that make no sense give nothing") {
+TEST_CASE("malformed ranges of completed units are not decoded") {
   for (const auto* text : {
            R"({"state":1,"units":[],"done":[[0,0,1]]})",
            R"({"state":1,"units":[],"done":[[0,0,1,-1]]})",
@@ -94,17 +94,17 @@
   }
 }
 
-TEST_CASE("jobs spread over all parts of their service") {
-  std::set<std::string> parts;
+TEST_CASE("jobs are spread over all progress partitions of their service") {
+  std::set<std::string> partitions;
   for (int i = 0; i < 200; ++i) {
-    parts.insert(ProgressPartition(base::ServiceName("s"),
-                                   base::JobName("job" + std::to_string(i))));
+    partitions.insert(ProgressPartition(
+        base::ServiceName("s"), base::JobName("job" + std::to_string(i))));
   }
   const auto all = ProgressPartitions(base::ServiceName("s"));
-  CHECK(parts == std::set<std::string>(all.begin(), all.end()));
+  CHECK(partitions == std::set<std::string>(all.begin(), all.end()));
 }
 
-TEST_CASE("the longest prefix of the right host finds the queue") {
+TEST_CASE("a queue is found by its host and the longest path prefix") {
   QueueConfiguration configuration;
   for (const auto* prefix : {"/a/", "/a/b/", "/c/"}) {
     Queue queue;
@@ -126,7 +126,7 @@
   CHECK(table.FindOrganisationByKey("") == nullptr);
 }
 
-struct World {
+struct JobServiceFixture {
   fakes::VirtualTime time;
   fakes::FakeRowStore store{time};
   JobService service{store.For("entry")};
@@ -139,7 +139,7 @@
     service.Submit(job, [this](const SubmitResult& it) { submitted = it; });
     time.RunFor(base::Duration(ms));
   }
-  void Look(const Job& job) {
+  void ReadState(const Job& job) {
     service.ReadState(job.service, job.name,
                       [this](const StateResult& it) { state = it; });
     time.RunFor(base::Duration(100));
@@ -151,59 +151,59 @@
   }
 };
 
-TEST_CASE("a job is accepted once, however often it is sent") {
-  World world;
+TEST_CASE("a job submitted repeatedly is accepted and stored once") {
+  JobServiceFixture fixture;
   const auto job = MakeJob("a");
-  world.Submit(job);
-  CHECK(std::holds_alternative<JobAccepted>(*world.submitted));
-  world.Submit(job);
-  CHECK(std::holds_alternative<JobAccepted>(*world.submitted));
-  CHECK(world.store.rows_in("requests") == 1);
-  world.Look(job);
-  CHECK(std::get<JobState>(*world.state) == JobState::kQueued);
+  fixture.Submit(job);
+  CHECK(std::holds_alternative<JobAccepted>(*fixture.submitted));
+  fixture.Submit(job);
+  CHECK(std::holds_alternative<JobAccepted>(*fixture.submitted));
+  CHECK(fixture.store.rows_in("requests") == 1);
+  fixture.ReadState(job);
+  CHECK(std::get<JobState>(*fixture.state) == JobState::kQueued);
 }
 
-TEST_CASE("a job that the store refused is not accepted") {
-  World world;
-  world.store.SetFault("entry", StoreFault::kBusy);
-  world.Submit(MakeJob("a"));
-  CHECK(std::holds_alternative<JobNotAccepted>(*world.submitted));
-  CHECK(world.store.rows_in("requests") == 0);
+TEST_CASE("a job whose write the store rejects is not accepted") {
+  JobServiceFixture fixture;
+  fixture.store.SetFault("entry", StoreFault::kBusy);
+  fixture.Submit(MakeJob("a"));
+  CHECK(std::holds_alternative<JobNotAccepted>(*fixture.submitted));
+  CHECK(fixture.store.rows_in("requests") == 0);
 }
 
-TEST_CASE("a lost answer is never told as not accepted") {
-  World world;
+TEST_CASE("a lost store response is never reported as not accepted") {
+  JobServiceFixture fixture;
   const auto job = MakeJob("a");
-  // Done without an answer, and readable by the time it is looked up.
-  world.store.SetFault("entry", StoreFault::kAnswersLost);
-  world.Submit(job, 1'900);
-  world.store.SetFault("entry", StoreFault::kNone);
-  world.time.RunFor(base::Duration(1'000));
-  CHECK(std::holds_alternative<JobAccepted>(*world.submitted));
-
-  // Done only later: nobody knows yet.
+  // The write succeeds without a response and is visible to the later read.
+  fixture.store.SetFault("entry", StoreFault::kAnswersLost);
+  fixture.Submit(job, 1'900);
+  fixture.store.SetFault("entry", StoreFault::kNone);
+  fixture.time.RunFor(base::Duration(1'000));
+  CHECK(std::holds_alternative<JobAccepted>(*fixture.submitted));
+
+  // The write takes effect only after the read, so the outcome is unknown.
   const auto other = MakeJob("b");
-  world.store.SetFault("entry", StoreFault::kLate);
-  world.Submit(other, 1'900);
-  world.store.SetFault("entry", StoreFault::kNone);
-  world.time.RunFor(base::Duration(500));
-  CHECK(std::holds_alternative<JobOutcomeUnknown>(*world.submitted));
-  world.time.RunFor(base::Duration(3'000));
-  world.Look(other);
-  CHECK(std::get<JobState>(*world.state) == JobState::kQueued);
+  fixture.store.SetFault("entry", StoreFault::kLate);
+  fixture.Submit(other, 1'900);
+  fixture.store.SetFault("entry", StoreFault::kNone);
+  fixture.time.RunFor(base::Duration(500));
+  CHECK(std::holds_alternative<JobOutcomeUnknown>(*fixture.submitted));
+  fixture.time.RunFor(base::Duration(3'000));
+  fixture.ReadState(other);
+  CHECK(std::get<JobState>(*fixture.state) == JobState::kQueued);
 }
 
-TEST_CASE("only a job that is there can be cancelled") {
-  World world;
+TEST_CASE("only an existing job can be cancelled") {
+  JobServiceFixture fixture;
   const auto job = MakeJob("a");
-  world.Cancel(job);
-  CHECK(std::holds_alternative<NoSuchJob>(*world.cancelled));
-  world.Look(job);
-  CHECK(std::holds_alternative<NoSuchJob>(*world.state));
-  world.Submit(job);
-  world.Cancel(job);
-  CHECK(std::holds_alternative<JobCancelled>(*world.cancelled));
-  CHECK(world.store.rows_in("requests") == 2);
+  fixture.Cancel(job);
+  CHECK(std::holds_alternative<NoSuchJob>(*fixture.cancelled));
+  fixture.ReadState(job);
+  CHECK(std::holds_alternative<NoSuchJob>(*fixture.state));
+  fixture.Submit(job);
+  fixture.Cancel(job);
+  CHECK(std::holds_alternative<JobCancelled>(*fixture.cancelled));
+  CHECK(fixture.store.rows_in("requests") == 2);
 }
 
 }  // namespace
