--- a/src/jobs/job_rows.cc
+++ b/src/jobs/job_rows.cc
@@ -161,7 +161,7 @@
 };
 
 /// Decodes a step written by DoneRanges. A range longer than `kMaxRangeLength`
-/// is rejected, so that a malformed row cannot exhaust memory.
+/// is rejected, whatever the row says.
 void DecodeDone(const json::array& step, std::vector<UnitRecord>& out) {
   constexpr int kMaxRangeLength = 100'000;
   UnitRecord unit;
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -85,7 +85,7 @@
         if (rows.empty()) return read_request();
         const auto progress = DecodeProgress(rows.front().value);
         if (progress) return done(progress->state);
-        done(JobStoreUnavailable{"unreadable progress"});
+        done(JobStoreUnavailable{"the progress row cannot be decoded"});
       });
 }
 
@@ -115,7 +115,8 @@
                         if (std::holds_alternative<RowsConflict>(committed)) {
                           return done(NoSuchJob{});
                         }
-                        done(JobStoreUnavailable{"the store did not confirm"});
+                        done(JobStoreUnavailable{
+                            "the store did not confirm the cancellation"});
                       });
       });
 }
@@ -136,7 +137,8 @@
                 if (rows.empty()) return done(0);
                 const auto waiting = DecodeWaitingCounts(rows.front().value);
                 if (!waiting)
-                  return done(JobStoreUnavailable{"unreadable counts"});
+                  return done(JobStoreUnavailable{
+                      "the waiting counts row cannot be decoded"});
                 const auto it = waiting->find(queue);
                 done(it == waiting->end() ? 0 : it->second);
               });
