--- a/src/placement/cell_snapshot.cc
+++ b/src/placement/cell_snapshot.cc
@@ -12,7 +12,7 @@
 using OrganisationOnWorker =
     std::pair<base::OrganisationName, base::WorkerName>;
 
-/// Sums up a cell worker by worker and compares.
+/// Recomputes the load of each worker and compares it with capacity and blocks.
 class Checker {
  public:
   explicit Checker(const CellSnapshot& snapshot) : snapshot_(&snapshot) {
@@ -44,7 +44,8 @@
     return it.present && it.health == WorkerHealth::kHealthy;
   }
 
-  /// What an organisation runs on a worker as its own, in accelerators.
+  /// Accelerators that an organisation's guaranteed (not borrowed) work is
+  /// charged on a worker.
   int OwnOn(const base::OrganisationName& organisation,
             const base::WorkerName& worker) const {
     int own = 0;
@@ -59,7 +60,7 @@
     return own;
   }
 
-  /// Whole, and as close together as it asked.
+  /// Checks that every task is placed and that the adjacency is respected.
   void CheckGang(const GangSnapshot& it) {
     const auto& name = it.gang.job.str();
     if (static_cast<int>(it.placement.tasks.size()) != it.gang.tasks) {
@@ -86,7 +87,8 @@
     }
   }
 
-  /// No worker holds more than it has, now or once arrivals have started.
+  /// Checks that no worker is overfilled, neither now nor once the gangs that
+  /// wait for capacity have started.
   void CheckRoom() {
     std::map<base::WorkerName, int> now;
     std::map<base::WorkerName, int> later;
@@ -162,7 +164,8 @@
     }
   }
 
-  /// What is not borrowed runs in its own organisation's blocks.
+  /// Checks that work that is not borrowed runs in its own organisation's
+  /// blocks.
   void CheckOwners() {
     std::map<OrganisationOnWorker, int> claimed;
     for (const auto& it : snapshot_->blocks) {
@@ -184,8 +187,7 @@
     }
   }
 
-  /// Every guarantee has its blocks, and those without a place are no more
-  /// than hardware explains.
+  /// Checks that every guarantee has as many blocks as it promises.
   void CheckCounts() {
     std::map<std::pair<base::OrganisationName, Shape>, int> counts;
     for (const auto& it : snapshot_->guarantees) {
--- a/src/placement/cell_snapshot.h
+++ b/src/placement/cell_snapshot.h
@@ -9,40 +9,41 @@
 
 namespace lapishatch::placement {
 
-/// A worker as it is.
+/// Size and health of one worker.
 struct WorkerSnapshot {
   WorkerSpec spec;
   WorkerHealth health = WorkerHealth::kHealthy;
   bool present = true;
 };
 
-/// A gang that holds a place.
+/// A gang that holds or has claimed a placement.
 struct GangSnapshot {
   Gang gang;
   GangPlacement placement;
-  /// Told to stop.
+  /// The gang was told to stop.
   bool evicting = false;
-  /// Does not run yet: waits until what is evicted for it has ended.
+  /// The gang does not run yet: it waits until the gangs evicted for it have
+  /// ended.
   bool awaiting_capacity = false;
 };
 
-/// Accelerators of one worker.
+/// The accelerators of one worker that belong to a block.
 struct BlockPart {
   base::WorkerName worker;
   int accelerators = 0;
 };
 
-/// Where one guaranteed shape is claimed to be honoured; no parts when the
-/// hardware is said to be short. `guaranteed` is false for a block that only
-/// keeps work that can't be evicted.
+/// The capacity that the planner assigns to one guaranteed shape. `parts` is
+/// empty when the healthy hardware is too small for it. `guaranteed` is false
+/// for a block that only holds work that can't be evicted.
 struct BlockSnapshot {
   base::OrganisationName organisation;
   Shape shape;
   bool guaranteed = true;
-  /// Whole: what no gang uses of it is on workers that take new work. One that
-  /// is not counts as a shortfall.
+  /// Every part that no gang uses is on a worker that takes new work. A block
+  /// that is not intact counts as a shortfall.
   bool intact = true;
-  /// Gangs that run in it, or wait for evictions in it.
+  /// Gangs that run in the block or wait for evictions in it.
   int gang_count = 0;
   std::vector<BlockPart> parts = {};
 };
@@ -56,10 +57,10 @@
   std::vector<BlockSnapshot> blocks;
 };
 
-/// Whether every organisation's guaranteed shapes are there at once when only
-/// borrowed work is evicted, and no worker is overfilled by what is placed.
-/// Takes nothing from the planner's own counts. Returns what is broken, or an
-/// empty text.
+/// Checks that all guaranteed shapes can be provided at once by evicting only
+/// borrowed work, and that no worker is overfilled. Recomputes everything
+/// without the planner's own counters. Returns a description of the violation,
+/// or an empty string.
 std::string CheckCellInvariant(const CellSnapshot& snapshot);
 
 }  // namespace lapishatch::placement
--- a/src/placement/fragmentation.h
+++ b/src/placement/fragmentation.h
@@ -7,9 +7,9 @@
 
 namespace lapishatch::placement {
 
-/// What is free on one healthy worker.
+/// Free and total accelerators of one healthy worker.
 struct WorkerFreeCapacity {
-  /// Number of its rack, from 0.
+  /// Rack index, from 0.
   int rack = 0;
   int accelerators = 0;
   int free = 0;
--- a/src/placement/gang.h
+++ b/src/placement/gang.h
@@ -9,8 +9,8 @@
 
 namespace lapishatch::placement {
 
-/// What one task of a gang needs. Declared by the submitter and possibly wrong
-/// by ten times.
+/// What one task of a gang needs. Declared by the submitter, and may be wrong
+/// by a factor of ten.
 struct TaskNeeds {
   int accelerators = 0;
   int cores = 0;
@@ -19,8 +19,8 @@
   friend bool operator==(const TaskNeeds&, const TaskNeeds&) = default;
 };
 
-/// A job as placement sees it: which tasks, how close together, and what may be
-/// done to it.
+/// The properties of a job that placement depends on: tasks, adjacency and
+/// whether it may be stopped.
 struct Gang {
   base::JobName job;
   base::OrganisationName organisation;
@@ -37,7 +37,8 @@
   /// The submitter accepts that borrowed work which can neither be checkpointed
   /// nor run again is lost.
   bool may_be_lost = false;
-  /// Declared, so never to be relied on for safety or freedom from starvation.
+  /// Declared by the submitter, so neither safety nor freedom from starvation
+  /// may depend on it.
   base::Duration declared_runtime{0};
   base::TimePoint submitted{};
 
@@ -54,7 +55,7 @@
   friend bool operator==(const TaskPlacement&, const TaskPlacement&) = default;
 };
 
-/// Where a whole gang runs; every task has a place.
+/// Workers of all tasks of a gang.
 struct GangPlacement {
   std::vector<TaskPlacement> tasks;
   /// Runs on capacity beyond the organisation's own unused guarantee: may be
@@ -64,7 +65,7 @@
   friend bool operator==(const GangPlacement&, const GangPlacement&) = default;
 };
 
-/// A worker's size and place.
+/// Size and rack of a worker.
 struct WorkerSpec {
   base::WorkerName name;
   base::RackName rack;
@@ -78,12 +79,12 @@
 /// Whether new tasks may go to a worker.
 enum class WorkerHealth : std::uint8_t {
   kHealthy,
-  /// Leaving or drained by an operator: what runs there goes on, nothing new is
+  /// Leaving, or drained by an operator: running tasks continue, no new task is
   /// placed.
   kDraining,
-  /// Fails what it starts: nothing new until it is released.
+  /// Fails the tasks it starts: no new task is placed until it is released.
   kQuarantined,
-  /// Not reached: counts as possibly busy, nothing new is placed.
+  /// Not reachable: its tasks may still run, no new task is placed.
   kUnreachable,
 };
 
--- a/src/placement/guarantee_book.cc
+++ b/src/placement/guarantee_book.cc
@@ -48,7 +48,7 @@
   });
   for (const auto index : order) {
     auto& block = blocks_[index];
-    if (block.dead || block.loose) continue;
+    if (block.vacant || block.superseded) continue;
     bool kept = false;
     for (std::size_t i = 0; i < guarantees.size(); ++i) {
       if (wanted[i] == 0 || !SameKind(block, guarantees[i])) continue;
@@ -60,7 +60,7 @@
       block.retiring = false;
     } else if (block.in_use()) {
       block.retiring = true;
-      block.loose = true;
+      block.superseded = true;
     } else {
       Drop(index);
     }
@@ -109,11 +109,11 @@
   }
 }
 
-std::vector<BlockIndex> GuaranteeBook::Broken() {
+std::vector<BlockIndex> GuaranteeBook::BrokenBlocks() {
   std::vector<BlockIndex> broken;
   for (std::size_t i = 0; i < blocks_.size(); ++i) {
     const auto& block = blocks_[i];
-    if (block.dead || block.retiring || !block.in_use()) continue;
+    if (block.vacant || block.retiring || !block.in_use()) continue;
     if (Intact(block)) continue;
     if (MoveFreeParts(static_cast<BlockIndex>(i))) continue;
     broken.push_back(static_cast<BlockIndex>(i));
@@ -317,7 +317,7 @@
   block.organisation = organisation;
   block.shape.adjacency = Adjacency::kDomain;
   block.retiring = true;
-  block.loose = true;
+  block.superseded = true;
   std::vector<Piece> pieces;
   for (const auto& it : place) {
     block.shape.accelerators += it.total();
@@ -335,7 +335,7 @@
   again.shape = blocks_[index].shape;
   auto& block = blocks_[index];
   block.retiring = true;
-  block.loose = true;
+  block.superseded = true;
   for (auto& it : block.pieces) {
     cell_->at(it.worker).pinned -= it.count - it.in_use;
     it.count = it.in_use;
@@ -378,7 +378,7 @@
 std::vector<Shortfall> GuaranteeBook::Shortfalls() const {
   std::vector<Shortfall> shortfalls;
   for (const auto& block : blocks_) {
-    if (block.dead || block.retiring) continue;
+    if (block.vacant || block.retiring) continue;
     if (block.placed() && Intact(block)) continue;
     const auto it =
         std::find_if(shortfalls.begin(), shortfalls.end(), [&](auto& entry) {
@@ -397,7 +397,7 @@
 Shape GuaranteeBook::largest() const {
   Shape largest;
   for (const auto& it : blocks_) {
-    if (it.dead || it.retiring) continue;
+    if (it.vacant || it.retiring) continue;
     if (it.shape.accelerators > largest.accelerators) largest = it.shape;
   }
   return largest;
@@ -406,7 +406,7 @@
 std::vector<BlockIndex> GuaranteeBook::Unused() const {
   std::vector<BlockIndex> unused;
   for (std::size_t i = 0; i < blocks_.size(); ++i) {
-    if (blocks_[i].dead || blocks_[i].in_use()) continue;
+    if (blocks_[i].vacant || blocks_[i].in_use()) continue;
     unused.push_back(static_cast<BlockIndex>(i));
   }
   return unused;
@@ -452,7 +452,7 @@
   Unplace(index);
   std::erase(of_[blocks_[index].organisation], index);
   blocks_[index] = Block();
-  blocks_[index].dead = true;
+  blocks_[index].vacant = true;
   free_.push_back(index);
 }
 
--- a/src/placement/internal/cell.h
+++ b/src/placement/internal/cell.h
@@ -17,9 +17,9 @@
 
 inline constexpr int kNone = -1;
 
-/// How much of one worker is spoken for, all in accelerators (each stands for
-/// its share of the worker's cores and memory). Kept small: most decisions read
-/// all workers of the cell once.
+/// Allocation of one worker, all in accelerators (each stands for its share of
+/// the worker's cores and memory). Kept small: most decisions read all workers
+/// of the cell once.
 struct WorkerState {
   RackIndex rack = kNone;
   int type = kNone;
@@ -29,34 +29,35 @@
   /// The part of `used` whose gangs are being evicted.
   int evicting = 0;
   /// Claimed by gangs that wait for evictions.
-  int awaiting_capacity = 0;
+  int claimed = 0;
   /// In guaranteed blocks that are in use.
   int pinned = 0;
   /// In guaranteed blocks that are not in use.
   int reserved = 0;
   WorkerHealth health = WorkerHealth::kHealthy;
   bool present = false;
-  /// Held back for a starving gang.
+  /// Reserved for a starving gang.
   bool held = false;
   /// Bit i: accelerator i is given to a task.
   std::uint64_t taken = 0;
 
   bool open() const { return present && health == WorkerHealth::kHealthy; }
 
-  /// What is left once all evictions and arrivals under way are done.
-  int left() const { return capacity - used + evicting - awaiting_capacity; }
+  /// Free accelerators once all pending evictions and starts are done.
+  int left() const { return capacity - used + evicting - claimed; }
 
-  /// What a new gang can have now without evicting anything. What is free but
-  /// claimed is not for it, also when stops under way will make up for it: the
-  /// claim would wait for stops that were ordered later.
+  /// Accelerators that a new gang can get now without an eviction. Excludes
+  /// free accelerators that are claimed, even when pending evictions will
+  /// replace them: otherwise the claim would wait for evictions that were
+  /// ordered later.
   int available() const {
-    return open() ? std::max(0, capacity - used - awaiting_capacity) : 0;
+    return open() ? std::max(0, capacity - used - claimed) : 0;
   }
 
-  /// What is in no guaranteed block that is in use.
+  /// Accelerators outside guaranteed blocks that are in use.
   int unpinned() const { return open() ? capacity - pinned : 0; }
 
-  /// What is in no guaranteed block at all.
+  /// Accelerators outside all guaranteed blocks.
   int slack() const { return unpinned() - reserved; }
 };
 
--- a/src/placement/internal/gang_queue.h
+++ b/src/placement/internal/gang_queue.h
@@ -13,8 +13,8 @@
 
 namespace lapishatch::placement::internal {
 
-/// Gangs that any place suits or none: if one of them can't start now, none of
-/// them can.
+/// Equivalence class of gangs with the same requirements: if one of them can't
+/// start now, none of them can.
 struct GangKind {
   base::OrganisationName organisation;
   base::WorkClass work_class = base::WorkClass::kNormal;
--- a/src/placement/internal/gang_state.h
+++ b/src/placement/internal/gang_state.h
@@ -14,16 +14,16 @@
 enum class GangPhase : std::uint8_t {
   /// In the queue.
   kQueued,
-  /// Has a place, and waits until the gangs evicted for it have ended.
-  kArriving,
+  /// Has claimed a place and waits until the gangs evicted for it have ended.
+  kAwaitingCapacity,
   kRunning,
   /// Told to stop; holds its place until ReportEnded.
   kEvicting,
 };
 
-/// Everything the planner knows of one gang.
+/// The planner's state of one gang.
 struct GangState {
-  /// As submitted, but for needs that were raised by what it really used.
+  /// As submitted, except that needs are raised to the measured use.
   Gang gang;
   GangPhase phase = GangPhase::kQueued;
   /// Empty while queued.
@@ -38,12 +38,12 @@
   base::TimePoint started;
   /// Its last complete checkpoint; `started` when it has none.
   base::TimePoint saved;
-  /// Runs on capacity that is held back for another gang.
+  /// Runs on capacity that is reserved for a starving gang.
   bool backfill = false;
   /// How often it was evicted before.
   int evictions = 0;
-  /// Memory that its tasks are thought to use on each worker of `place`, from
-  /// the reports of whole workers; and reports that went into that.
+  /// Estimated memory use of its tasks on each worker of `place`, derived from
+  /// per-worker reports, and the number of reports used.
   std::vector<double> memory_mb = {};
   int reports = 0;
   /// Why it is evicted.
--- a/src/placement/internal/guarantee_book.h
+++ b/src/placement/internal/guarantee_book.h
@@ -23,9 +23,9 @@
   friend bool operator==(const Piece&, const Piece&) = default;
 };
 
-/// One guaranteed shape and where it would be, or is, honoured. The blocks
-/// together are the proof of the invariant: they are disjoint, and nothing but
-/// borrowed work and the owner's own gangs runs in them.
+/// The capacity assigned to one guaranteed shape. The set of blocks proves the
+/// invariant: blocks are disjoint, and only borrowed work and gangs of the
+/// block's organisation run in them.
 struct Block {
   base::OrganisationName organisation;
   Shape shape;
@@ -36,9 +36,9 @@
   /// No longer guaranteed: goes when its last gang does.
   bool retiring = false;
   /// Retiring, and no longer of its shape: never guaranteed again.
-  bool loose = false;
-  /// This index is free.
-  bool dead = false;
+  bool superseded = false;
+  /// The entry is unused and can be reused.
+  bool vacant = false;
 
   bool placed() const { return !pieces.empty(); }
   bool in_use() const { return gangs > 0; }
@@ -55,9 +55,9 @@
 /// of the cell's largest type.
 bool ShapeHolds(const Cell& cell, const Shape& shape, const Gang& gang);
 
-/// All guaranteed blocks of a cell. Whatever is asked of it, blocks in use stay
-/// where they are; unused ones are moved freely, since only borrowed work can
-/// be in them. Copies refer to the same cell until Rebind.
+/// All guaranteed blocks of a cell. Blocks in use keep the pieces that gangs
+/// use; unused blocks can be moved freely, since only borrowed work runs in
+/// them. Copies refer to the same cell until Rebind.
 class GuaranteeBook {
  public:
   explicit GuaranteeBook(Cell& cell) : cell_(&cell) {}
@@ -78,7 +78,7 @@
 
   /// Blocks in use of which a free part is on a worker that takes no new work,
   /// even after moving that part within the block's adjacency.
-  std::vector<BlockIndex> Broken();
+  std::vector<BlockIndex> BrokenBlocks();
 
   /// Takes room for a gang; the room must be there.
   void Use(const std::vector<BlockUse>& uses);
@@ -97,12 +97,12 @@
   bool ExtendOnto(BlockIndex block, const Place& place);
 
   /// Adds a block in use beyond all guarantees, for work that runs there and
-  /// can't be evicted. Unused blocks give way until Repair.
+  /// can't be evicted. Unused blocks in the way lose their place until Repair.
   BlockIndex AddRetiring(const base::OrganisationName& organisation,
                          const Place& place);
 
-  /// Lets a block in use go down to what its gangs use, and owes its
-  /// organisation a new one of the same shape, without a place until Repair.
+  /// Shrinks a block in use to what its gangs use, and adds a new block of the
+  /// same shape for its organisation, which has no place until Repair.
   void Reissue(BlockIndex block);
 
   /// Blocks in use that guarantee more of a worker than it has once `place` is
--- a/src/placement/internal/place_finder.h
+++ b/src/placement/internal/place_finder.h
@@ -34,12 +34,12 @@
 /// guaranteed shape.
 class PlaceFinder {
  public:
-  /// `grain` is the shape that free capacity should stay able to serve.
-  PlaceFinder(const Cell& cell, const Shape& grain);
+  /// `target_shape` is the shape that free capacity should stay able to serve.
+  PlaceFinder(const Cell& cell, const Shape& target_shape);
 
-  /// The place of least cost for `gang` within `rooms`; among equals the one
-  /// after which fewest free accelerators are useless to the grain, then the
-  /// best fit. `adjacency` may be closer than the gang's own.
+  /// The place of least cost for `gang` within `rooms`; ties go to the place
+  /// that leaves the fewest free accelerators unusable for the target shape,
+  /// then to the best fit. `adjacency` may be closer than the gang's own.
   Place Find(const Gang& gang, Adjacency adjacency, const Rooms& rooms) const;
 
  private:
@@ -65,18 +65,18 @@
                     const Rooms& rooms) const;
   Place Spread(int tasks, const std::vector<int>& charges, const Rooms& rooms,
                std::vector<WorkerIndex> among) const;
-  /// Free accelerators that are of no use to the grain once `slots`, all in one
+  /// Free accelerators that the target shape can't use once `slots`, all in one
   /// rack, are taken, less those before.
   int Stranded(const Slot* begin, const Slot* end) const;
-  /// Of so many whole free workers in one rack, accelerators useless to the
-  /// grain.
+  /// Accelerators, of the given number of wholly free workers in one rack, that
+  /// the target shape can't use.
   int StrandedIn(int whole_workers) const;
 
   const Cell* cell_;
   int worker_size_;
-  /// The grain in whole workers, 0 when it is less than one worker.
-  int grain_workers_;
-  int grain_part_;
+  /// The target shape in whole workers, 0 when it is less than one worker.
+  int target_workers_;
+  int target_accelerators_;
   /// Whole free workers by rack.
   std::vector<int> whole_;
   /// Accelerators by rack that are free, and that could be freed.
--- a/src/placement/internal/planner_impl.h
+++ b/src/placement/internal/planner_impl.h
@@ -17,12 +17,11 @@
 
 namespace lapishatch::placement {
 
-/// What stands behind Planner, by file: planner.cc the verbs,
-/// planner_places.cc what holds which place, planner_decide.cc the order of
+/// Implementation of Planner, by file: planner.cc the public functions,
+/// planner_places.cc placement bookkeeping, planner_decide.cc the order of
 /// decisions and borrowed work, planner_own.cc guaranteed work,
-/// planner_evict.cc victims, planner_starving.cc reservations,
-/// planner_compact.cc moves that join free capacity, planner_explain.cc what is
-/// said to people.
+/// planner_evict.cc selection of victims, planner_starving.cc reservations,
+/// planner_compact.cc compaction, planner_explain.cc texts for operators.
 class Planner::Impl {
  public:
   explicit Impl(PlannerOptions options);
@@ -51,21 +50,21 @@
  private:
   using GangState = internal::GangState;
 
-  /// What an organisation has running, and may have.
+  /// Usage and limit of one organisation.
   struct Account {
     OrganisationShare share;
     int running = 0;
     int borrowed = 0;
   };
 
-  /// Gangs to stop so that a place is free, and what that loses.
-  struct Clearing {
+  /// Gangs to stop to free a place, and the work lost by that.
+  struct EvictionPlan {
     bool possible = false;
     std::vector<GangState*> victims;
     double lost_work = 0;
   };
 
-  /// Who may be stopped for a place.
+  /// Which gangs may be stopped to free a place.
   enum class Victims : std::uint8_t {
     /// Borrowed work.
     kBorrowed,
@@ -77,11 +76,11 @@
   struct OwnPlace {
     internal::Place place;
     std::vector<internal::BlockUse> uses;
-    Clearing clearing;
+    EvictionPlan eviction_plan;
   };
 
-  /// What is remembered of a gang that was evicted, until it runs to its end.
-  struct Past {
+  /// Data kept of an evicted gang until it runs to its end.
+  struct GangHistory {
     int evictions = 0;
     /// Memory that a task was seen to need, 0 when nothing is known.
     std::int64_t memory_mb = 0;
@@ -133,27 +132,28 @@
   void DetachFromBroken();
   /// Takes the gangs of a block in use off its guarantee, so that it can be
   /// placed elsewhere: they run on as borrowed, or in a block of their own.
-  void LeaveBlock(internal::BlockIndex block);
+  void VacateBlock(internal::BlockIndex block);
   std::vector<GangState*> GangsIn(internal::BlockIndex block) const;
   std::vector<internal::BlockUse> UsesFor(
       const internal::Place& place,
       const std::vector<internal::BlockIndex>& blocks) const;
   /// Gangs that have to run on as borrowed when these guarantees come in force.
-  std::vector<GangState*> LeaversUnder(const internal::GuaranteeBook& book);
-  std::string WhyNotTogether(const std::vector<Guarantee>& guarantees);
+  std::vector<GangState*> GangsLosingGuarantee(
+      const internal::GuaranteeBook& book);
+  std::string WhyInfeasible(const std::vector<Guarantee>& guarantees);
   GangPlacement PlacementOf(const GangState& gang) const;
 
   // planner_decide.cc
   void RefuseImpossible();
-  void StartArrivals(base::TimePoint now);
+  void StartClaimed(base::TimePoint now);
   void PlaceQueued(base::TimePoint now);
   bool TryPlace(GangState& gang, base::TimePoint now);
   bool TryBorrow(GangState& gang, base::TimePoint now);
   internal::Rooms RoomsToBorrow(const GangState& gang) const;
   void Start(GangState& gang, base::TimePoint now);
-  void StartOrClaim(GangState& gang, const Clearing& clearing,
+  void StartOrClaim(GangState& gang, const EvictionPlan& eviction_plan,
                     const std::string& reason, base::TimePoint now);
-  /// Whether a place is free now, and nobody waits for it.
+  /// Whether a place is free now and not claimed by another gang.
   bool PhysicallyFree(const internal::Place& place) const;
   bool WithinLimit(const GangState& gang) const;
   double ShareOf(const base::OrganisationName& organisation) const;
@@ -187,16 +187,16 @@
                   internal::Rooms rooms, base::TimePoint now);
 
   // planner_evict.cc
-  void RelieveWorkers(base::TimePoint now);
+  void RelieveOverloadedWorkers(base::TimePoint now);
   void Evict(GangState& gang, const base::JobName& for_job, std::string reason);
-  Clearing Clear(const internal::Place& place, Victims allowed,
-                 base::TimePoint now) const;
+  EvictionPlan PlanEvictions(const internal::Place& place, Victims allowed,
+                             base::TimePoint now) const;
   static bool CanBeVictim(const GangState& gang, Victims allowed);
-  double ClearingCost(internal::WorkerIndex worker, int need, Victims allowed,
+  double EvictionCost(internal::WorkerIndex worker, int need, Victims allowed,
                       base::TimePoint now) const;
   double LostWork(const GangState& gang, base::TimePoint now) const;
-  /// Shares out what a worker is reported to use among the gangs there.
-  void Attribute(internal::WorkerIndex worker, std::int64_t memory_mb);
+  /// Distributes the reported memory use of a worker among its gangs.
+  void AttributeMemory(internal::WorkerIndex worker, std::int64_t memory_mb);
   double MemoryOn(const GangState& gang, internal::WorkerIndex worker) const;
   double DeclaredOn(const GangState& gang, internal::WorkerIndex worker) const;
   void LearnMemory(const GangState& gang, internal::WorkerIndex worker);
@@ -206,10 +206,10 @@
   GangState* OldestStarving(base::TimePoint now);
   bool Reserve(GangState& gang, base::TimePoint now);
   void DropReservation();
-  bool ReservationStands() const;
+  bool IsReservationValid() const;
   /// Accelerator seconds that may be lost by others to end the gang's wait.
   double AcceptedLoss(const GangState& gang, base::TimePoint now) const;
-  bool HasRunItsTurn(const GangState& gang, base::TimePoint now) const;
+  bool HasRunMinimumTime(const GangState& gang, base::TimePoint now) const;
 
   // planner_compact.cc
   void Compact(base::TimePoint now);
@@ -240,19 +240,19 @@
   std::vector<Guarantee> guarantees_;
   /// The largest guaranteed shape, which free capacity should stay able to
   /// serve.
-  Shape grain_;
+  Shape target_shape_;
   internal::GangQueue queue_;
   std::unordered_map<base::JobName, GangState> gangs_;
   /// Running, evicting gangs, and gangs that wait for capacity, with a task on
   /// each worker.
   std::vector<std::vector<GangState*>> on_worker_;
   /// Gangs that wait for evictions, in order of arrival.
-  std::vector<GangState*> arriving_;
+  std::vector<GangState*> awaiting_capacity_;
   std::unordered_map<base::OrganisationName, Account> accounts_;
   std::map<internal::WorkerIndex, Overfill> overfilled_;
-  std::unordered_map<base::JobName, Past> past_;
-  /// The jobs of `past_`, oldest first, to bound it.
-  std::deque<base::JobName> past_order_;
+  std::unordered_map<base::JobName, GangHistory> history_;
+  /// The jobs of `history_`, oldest first, to bound it.
+  std::deque<base::JobName> history_order_;
   Reservation reservation_;
   /// Gangs for which nothing to borrow was free, since `borrow_generation_`.
   std::set<BorrowKey> borrow_failures_;
@@ -270,7 +270,7 @@
   /// The cell's configuration changed: queued gangs may have become impossible.
   bool check_possible_ = false;
   /// A block in use has a free part on a worker that takes nothing new.
-  bool broken_ = false;
+  bool has_broken_blocks_ = false;
   std::vector<Decision> decisions_;
 };
 
--- a/src/placement/place_finder.cc
+++ b/src/placement/place_finder.cc
@@ -6,15 +6,16 @@
 
 namespace lapishatch::placement::internal {
 
-PlaceFinder::PlaceFinder(const Cell& cell, const Shape& grain)
+PlaceFinder::PlaceFinder(const Cell& cell, const Shape& target_shape)
     : cell_(&cell),
       worker_size_(std::max(1, cell.largest())),
-      grain_workers_(0),
-      grain_part_(std::max(1, grain.accelerators)),
+      target_workers_(0),
+      target_accelerators_(std::max(1, target_shape.accelerators)),
       whole_(cell.racks(), 0),
       open_(cell.racks(), 0) {
-  if (grain.accelerators > worker_size_) {
-    grain_workers_ = (grain.accelerators + worker_size_ - 1) / worker_size_;
+  if (target_shape.accelerators > worker_size_) {
+    target_workers_ =
+        (target_shape.accelerators + worker_size_ - 1) / worker_size_;
   }
   for (const auto& it : cell.workers()) {
     if (it.rack == kNone) continue;
@@ -132,8 +133,8 @@
 }
 
 int PlaceFinder::StrandedIn(int whole_workers) const {
-  if (grain_workers_ == 0) return 0;
-  return whole_workers % grain_workers_ * worker_size_;
+  if (target_workers_ == 0) return 0;
+  return whole_workers % target_workers_ * worker_size_;
 }
 
 int PlaceFinder::Stranded(const Slot* begin, const Slot* end) const {
@@ -143,8 +144,8 @@
     const auto& worker = cell_->at(it->worker);
     const int free = worker.available();
     const int after = std::max(0, free - it->total());
-    if (grain_workers_ == 0) {
-      change += after % grain_part_ - free % grain_part_;
+    if (target_workers_ == 0) {
+      change += after % target_accelerators_ - free % target_accelerators_;
     } else if (free == worker.capacity) {
       ++whole_taken;
       change += after;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,8 +1,8 @@
 #ifndef LAPISHATCH_PLACEMENT_PLACEMENT_H_
 #define LAPISHATCH_PLACEMENT_PLACEMENT_H_
 
-/// Umbrella header of the placement package: which gang runs where and whose
-/// capacity it is. Pure.
+/// Umbrella header of the placement package: assigns gangs to workers and
+/// tracks guaranteed capacity. Free of I/O.
 
 #include "placement/cell_snapshot.h"
 #include "placement/fragmentation.h"
--- a/src/placement/planner.cc
+++ b/src/placement/planner.cc
@@ -17,8 +17,8 @@
 /// reports lag, and what is full by the report is over by now.
 constexpr double kMemoryLimit = 0.95;
 
-/// Jobs of which the past is remembered, at most.
-constexpr std::size_t kMaxPast = 4096;
+/// Jobs of which the history is remembered, at most.
+constexpr std::size_t kMaxHistory = 4096;
 
 }  // namespace
 
@@ -45,7 +45,7 @@
   overfilled_.erase(worker);
   check_possible_ = true;
   fits_empty_cell_.clear();
-  broken_ = true;
+  has_broken_blocks_ = true;
   book_.WorkersChanged();
   RepairBook();
 }
@@ -55,14 +55,14 @@
   const auto worker = cell_.Find(name);
   if (worker == kNone || cell_.at(worker).health == health) return;
   cell_.at(worker).health = health;
-  broken_ = true;
+  has_broken_blocks_ = true;
   book_.WorkersChanged();
   RepairBook();
 }
 
 std::string Planner::Impl::SetGuarantees(
     const std::vector<Guarantee>& guarantees) {
-  auto reason = WhyNotTogether(guarantees);
+  auto reason = WhyInfeasible(guarantees);
   if (reason.empty()) ForceGuarantees(guarantees);
   return reason;
 }
@@ -70,14 +70,14 @@
 void Planner::Impl::ForceGuarantees(const std::vector<Guarantee>& guarantees) {
   guarantees_ = guarantees;
   book_.Set(guarantees);
-  for (auto* it : LeaversUnder(book_)) {
-    if (it->phase == GangPhase::kArriving) {
+  for (auto* it : GangsLosingGuarantee(book_)) {
+    if (it->phase == GangPhase::kAwaitingCapacity) {
       BackToQueue(*it);
     } else {
       MakeBorrowed(*it);
     }
   }
-  grain_ = book_.largest();
+  target_shape_ = book_.largest();
   check_possible_ = true;
   RepairBook();
 }
@@ -100,15 +100,15 @@
   state.gang.submitted = std::min(gang.submitted, now);
   if (state.gang.submitted == base::TimePoint{}) state.gang.submitted = now;
   state.queued = now;
-  const auto past = past_.find(gang.job);
-  if (past != past_.end()) {
-    state.evictions = past->second.evictions;
-    // It has had its turn, and queues behind those that have not.
+  const auto history = history_.find(gang.job);
+  if (history != history_.end()) {
+    state.evictions = history->second.evictions;
+    // A quiet gang that was evicted queues behind those that have not run yet.
     if (state.evictions > 0 && gang.work_class == base::WorkClass::kQuiet) {
       state.gang.submitted = now;
     }
     state.gang.needs.memory_mb =
-        std::max(gang.needs.memory_mb, past->second.memory_mb);
+        std::max(gang.needs.memory_mb, history->second.memory_mb);
   }
   auto reason = WhyNever(state.gang);
   if (!reason.empty()) {
@@ -151,9 +151,9 @@
   HoldPlace(state);
   if (placement.borrowed && internal::Evictable(gang)) return;
   if (AdoptIntoBlocks(state) || internal::Evictable(gang)) return RepairBook();
-  // It can't be evicted, and no guarantee covers it: its place is out of reach
-  // of all guarantees until it ends.
-  for (const auto it : book_.ConflictsWith(state.place)) LeaveBlock(it);
+  // The gang can't be evicted and no guarantee covers it, so no guarantee can
+  // use its place until it ends.
+  for (const auto it : book_.ConflictsWith(state.place)) VacateBlock(it);
   if (AdoptIntoBlocks(state)) return RepairBook();
   const auto block = book_.AddRetiring(gang.organisation, state.place);
   for (const auto& it : state.place) {
@@ -166,13 +166,13 @@
 }
 
 void Planner::Impl::Cancel(const base::JobName& job) {
-  past_.erase(job);
+  history_.erase(job);
   auto* gang = FindGang(job);
   if (gang == nullptr) return;
   if (gang->phase == GangPhase::kQueued) {
     queue_.Remove(gang->gang);
     gangs_.erase(job);
-  } else if (gang->phase == GangPhase::kArriving) {
+  } else if (gang->phase == GangPhase::kAwaitingCapacity) {
     DropClaim(*gang);
     gangs_.erase(job);
     RepairBook();
@@ -183,19 +183,19 @@
   auto* gang = FindGang(job);
   if (gang == nullptr) return;
   if (gang->phase == GangPhase::kQueued ||
-      gang->phase == GangPhase::kArriving) {
+      gang->phase == GangPhase::kAwaitingCapacity) {
     return;
   }
   if (gang->phase == GangPhase::kEvicting) {
-    const auto [past, added] = past_.try_emplace(job);
-    past->second.evictions = gang->evictions + 1;
-    if (added) past_order_.push_back(job);
-    while (past_order_.size() > kMaxPast) {
-      past_.erase(past_order_.front());
-      past_order_.pop_front();
+    const auto [history, added] = history_.try_emplace(job);
+    history->second.evictions = gang->evictions + 1;
+    if (added) history_order_.push_back(job);
+    while (history_order_.size() > kMaxHistory) {
+      history_.erase(history_order_.front());
+      history_order_.pop_front();
     }
   } else {
-    past_.erase(job);
+    history_.erase(job);
   }
   DropPlace(*gang);
   gangs_.erase(job);
@@ -215,7 +215,7 @@
   const auto& spec = cell_.spec(worker);
   const auto limit = static_cast<std::int64_t>(
       kMemoryLimit * static_cast<double>(spec.memory_mb));
-  Attribute(worker, memory_mb);
+  AttributeMemory(worker, memory_mb);
   const auto over_memory = std::max<std::int64_t>(0, memory_mb - limit);
   const int over_cores = std::max(0, cores - spec.cores);
   if (over_memory == 0 && over_cores == 0) {
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -22,8 +22,8 @@
 };
 
 /// Stop this running borrowed gang (checkpoint first when it can) because
-/// `for_job` is owed its place, or because its worker must be relieved. The
-/// planner starts `for_job` once ReportEnded is reported for every gang it
+/// `for_job` is entitled to its capacity, or because its worker is overloaded.
+/// The planner starts `for_job` once ReportEnded is reported for every gang it
 /// evicts for it.
 struct EvictGang {
   base::JobName job;
@@ -49,16 +49,16 @@
   int missing = 0;
 };
 
-/// An organisation as the queue sees it.
+/// Fair-share weight and limit of an organisation.
 struct OrganisationShare {
   base::OrganisationName organisation;
-  /// Weight of its fair share of what is borrowed, 1 is ordinary.
+  /// Weight in the fair share of borrowed capacity; 1 is the default.
   double weight = 1;
   /// Most accelerators it may have running at once; nothing means no limit.
   std::optional<int> running_accelerators_limit = std::nullopt;
 };
 
-/// Why a gang waits or where it runs, for people.
+/// State of a gang and the reason for it, as text for operators.
 struct Explanation {
   /// "queued", "running", "evicting" or "unknown job".
   std::string state;
@@ -71,19 +71,20 @@
   /// Most of a cell's workers that may be quarantined at once, as a share of
   /// all.
   double max_quarantined_share = 0.2;
-  /// A gang that has waited so long gets a reservation: backfill may no longer
-  /// take what it waits for.
+  /// A gang that has waited this long gets a reservation, whose capacity
+  /// backfill may no longer take.
   base::Duration starvation_after{600'000};
-  /// After so much waiting a gang counts as of the next better class.
+  /// Waiting time after which a gang is promoted by one class.
   base::Duration ageing_after{3'600'000};
   std::uint64_t seed = 1;
 };
 
-/// The planner of one cell: which gang runs where, whose capacity it is, and
-/// what is evicted for whom. Pure: it takes events and the time and returns
-/// decisions; no I/O, clock or threads. Its invariant, after every call: every
-/// organisation's unused guaranteed shapes can be placed at once by evicting
-/// only borrowed work, except where a Shortfall says that hardware is missing.
+/// The planner of one cell: assigns gangs to workers, tracks guaranteed
+/// capacity and selects gangs to evict. It takes events and the time and
+/// returns decisions, and uses no I/O, clock or threads. Its invariant, after
+/// every call: every organisation's unused guaranteed shapes can be placed at
+/// once by evicting only borrowed work, except where a Shortfall says that
+/// hardware is missing.
 class Planner {
  public:
   explicit Planner(PlannerOptions options);
@@ -95,13 +96,13 @@
   /// new one).
   void PutWorker(const WorkerSpec& worker);
 
-  /// Forgets a worker; gangs with a task there stay until ReportEnded is
+  /// Removes a worker; gangs with a task there stay until ReportEnded is
   /// reported for them.
   void RemoveWorker(const base::WorkerName& worker);
 
   void SetHealth(const base::WorkerName& worker, WorkerHealth health);
 
-  /// Puts the guarantees in force that the given workers of this cell can hold.
+  /// Applies the guarantees if the workers of this cell can hold them all.
   /// Returns, without changing anything, why they cannot all be placed; empty
   /// when they are in force.
   std::string SetGuarantees(const std::vector<Guarantee>& guarantees);
@@ -116,8 +117,8 @@
   /// text.
   std::string Submit(const Gang& gang, base::TimePoint now);
 
-  /// Takes into account a gang that already runs at this place, found by a new
-  /// owner.
+  /// Registers a gang that already runs at this placement, found by a new owner
+  /// of the cell.
   void Adopt(const Gang& gang, const GangPlacement& placement,
              base::TimePoint started);
 
@@ -125,22 +126,22 @@
   /// Ended.
   void Cancel(const base::JobName& job);
 
-  /// A started or evicted gang holds its place no longer. An evicted one that
-  /// is to run again is submitted again by the caller, with its first
-  /// submission time.
+  /// Reports that a started or evicted gang has released its capacity. An
+  /// evicted one that is to run again is submitted again by the caller, with
+  /// its first submission time.
   void ReportEnded(const base::JobName& job, base::TimePoint now);
 
   /// A running gang has a complete checkpoint as of `now`: evicting it loses
   /// only what it did since.
   void ReportCheckpoint(const base::JobName& job, base::TimePoint now);
 
-  /// Late usage reports: what the tasks on a worker really take. The planner
-  /// answers with evictions from Decide when the worker is about to be
-  /// overfilled.
+  /// Reports the measured use of all tasks on a worker, which may lag. Decide
+  /// returns evictions when the worker is about to run out of memory or cores.
   void ReportUsage(const base::WorkerName& worker, int cores,
                    std::int64_t memory_mb);
 
-  /// Everything that should happen now. Deterministic for the same history.
+  /// Returns all decisions that are due at `now`. Deterministic for the same
+  /// sequence of calls.
   std::vector<Decision> Decide(base::TimePoint now);
 
   std::vector<Shortfall> Shortfalls() const;
@@ -153,8 +154,8 @@
   /// Share, from 0 to 1, of the free accelerators that cannot serve `shape`.
   double Fragmentation(const Shape& shape) const;
 
-  /// The invariant, checked from first principles (slow: for tests). Returns
-  /// what is broken, or empty.
+  /// Checks the invariant without the planner's own counters (slow, for tests).
+  /// Returns a description of the violation, or an empty string.
   std::string CheckInvariant() const;
 
   /// The cell as plain snapshot, for CheckCellInvariant and for reports.
--- a/src/placement/planner_compact.cc
+++ b/src/placement/planner_compact.cc
@@ -14,24 +14,24 @@
 
 namespace {
 
-/// Looking for moves is dear, and nothing is lost by doing it seldom.
-constexpr base::Duration kCompactionEvery{10'000};
+/// The search for moves is expensive, and running it seldom costs nothing.
+constexpr base::Duration kCompactionInterval{10'000};
 
 /// Gangs looked at each time.
-constexpr std::size_t kMostLookedAt = 16;
+constexpr std::size_t kMaxGangsExamined = 16;
 
 /// Workers looked at each time: in larger cells fewer gangs, and for those only
 /// some of the racks, the next ones the next time.
-constexpr int kWorkersLookedAt = 2'600;
+constexpr int kMaxWorkersExamined = 2'600;
 
 /// Gangs moved for one.
-constexpr std::size_t kMostMoved = 64;
+constexpr std::size_t kMaxGangsMoved = 64;
 
 }  // namespace
 
 void Planner::Impl::Compact(base::TimePoint now) {
   if (queue_.size() == 0 || now < next_compaction_) return;
-  next_compaction_ = now + kCompactionEvery;
+  next_compaction_ = now + kCompactionInterval;
   const int free = free_accelerators();
   std::vector<GangState*> waiting;
   for (const auto& job : queue_.Heads()) {
@@ -43,8 +43,8 @@
   // The oldest few, so that a long queue does not make decisions slow.
   const auto most = std::min(
       waiting.size(),
-      std::clamp<std::size_t>(kWorkersLookedAt / std::max(1, cell_.size()), 1,
-                              kMostLookedAt));
+      std::clamp<std::size_t>(kMaxWorkersExamined / std::max(1, cell_.size()),
+                              1, kMaxGangsExamined));
   const auto end = waiting.begin() + static_cast<std::ptrdiff_t>(most);
   std::partial_sort(waiting.begin(), end, waiting.end(), [](auto* a, auto* b) {
     return std::pair(a->queued, a->gang.job) <
@@ -62,7 +62,7 @@
 std::vector<internal::RackIndex> Planner::Impl::NextRacks() {
   std::vector<internal::RackIndex> racks;
   int workers = 0;
-  for (int n = 0; n < cell_.racks() && workers < kWorkersLookedAt; ++n) {
+  for (int n = 0; n < cell_.racks() && workers < kMaxWorkersExamined; ++n) {
     next_rack_ = (next_rack_ + 1) % cell_.racks();
     racks.push_back(next_rack_);
     workers += static_cast<int>(cell_.InRack(next_rack_).size());
@@ -75,18 +75,19 @@
                                base::TimePoint now) {
   auto place = CheapestPlace(gang, Victims::kMovable, racks, now);
   if (place.empty()) return false;
-  // A first estimate spares the dear search for victims.
+  // A first estimate avoids the expensive search for victims.
   double estimate = 0;
   for (const auto& it : place) {
-    estimate += ClearingCost(it.worker, it.total(), Victims::kMovable, now);
+    estimate += EvictionCost(it.worker, it.total(), Victims::kMovable, now);
   }
   if (estimate > AcceptedLoss(gang, now)) return false;
-  const auto clearing = Clear(place, Victims::kMovable, now);
-  if (!clearing.possible || clearing.victims.size() > kMostMoved) return false;
-  if (clearing.lost_work > AcceptedLoss(gang, now)) return false;
-  if (!FitElsewhere(clearing.victims, place)) return false;
+  const auto eviction_plan = PlanEvictions(place, Victims::kMovable, now);
+  if (!eviction_plan.possible || eviction_plan.victims.size() > kMaxGangsMoved)
+    return false;
+  if (eviction_plan.lost_work > AcceptedLoss(gang, now)) return false;
+  if (!FitElsewhere(eviction_plan.victims, place)) return false;
   gang.place = std::move(place);
-  StartOrClaim(gang, clearing,
+  StartOrClaim(gang, eviction_plan,
                "it can run elsewhere, and its place completes one for job " +
                    gang.gang.job.str(),
                now);
@@ -130,7 +131,7 @@
       rooms[it].accelerators = Stoppable(it, allowed);
       const int need = std::min(rooms[it].accelerators,
                                 gang.gang.tasks * charges[cell_.at(it).type]);
-      rooms[it].cost = ClearingCost(it, need, allowed, now);
+      rooms[it].cost = EvictionCost(it, need, allowed, now);
     }
   }
   return Finder().Find(gang.gang, gang.gang.adjacency, rooms);
--- a/src/placement/planner_decide.cc
+++ b/src/placement/planner_decide.cc
@@ -32,8 +32,8 @@
 std::vector<Decision> Planner::Impl::Decide(base::TimePoint now) {
   decisions_.clear();
   RefuseImpossible();
-  RelieveWorkers(now);
-  StartArrivals(now);
+  RelieveOverloadedWorkers(now);
+  StartClaimed(now);
   ServeStarving(now);
   PlaceQueued(now);
   Compact(now);
@@ -55,10 +55,11 @@
   }
 }
 
-void Planner::Impl::StartArrivals(base::TimePoint now) {
-  const auto awaiting_capacity = arriving_;
-  // First come, first served: what an earlier one waits for is not given to a
-  // later one, so that no one waits longer than its own victims may take.
+void Planner::Impl::StartClaimed(base::TimePoint now) {
+  const auto awaiting_capacity = awaiting_capacity_;
+  // Claims are served in order: capacity that an earlier gang waits for is not
+  // given to a later one, so that no gang waits longer than its own victims
+  // take to stop.
   std::map<internal::WorkerIndex, int> promised;
   for (auto* it : awaiting_capacity) {
     const bool free =
@@ -85,8 +86,7 @@
   return std::all_of(place.begin(), place.end(), [&](const auto& it) {
     const auto& worker = cell_.at(it.worker);
     return worker.open() &&
-           worker.used + worker.awaiting_capacity + it.total() <=
-               worker.capacity;
+           worker.used + worker.claimed + it.total() <= worker.capacity;
   });
 }
 
@@ -101,11 +101,12 @@
   decisions_.push_back(StartGang{gang.gang.job, PlacementOf(gang)});
 }
 
-void Planner::Impl::StartOrClaim(GangState& gang, const Clearing& clearing,
+void Planner::Impl::StartOrClaim(GangState& gang,
+                                 const EvictionPlan& eviction_plan,
                                  const std::string& reason,
                                  base::TimePoint now) {
-  for (auto* it : clearing.victims) {
-    if (it->phase == GangPhase::kArriving) {
+  for (auto* it : eviction_plan.victims) {
+    if (it->phase == GangPhase::kAwaitingCapacity) {
       BackToQueue(*it);
     } else {
       Evict(*it, gang.gang.job, reason);
@@ -146,18 +147,18 @@
 }
 
 bool Planner::Impl::TryPlace(GangState& gang, base::TimePoint now) {
-  // What disturbs nobody comes first.
+  // Placements that evict no gang are tried first.
   return TryOwn(gang, /*may_evict=*/false, now) || TryBorrow(gang, now) ||
          TryOwn(gang, /*may_evict=*/true, now) || TryDemote(gang, now);
 }
 
 internal::PlaceFinder Planner::Impl::Finder() const {
-  return internal::PlaceFinder(cell_, grain_);
+  return internal::PlaceFinder(cell_, target_shape_);
 }
 
 Rooms Planner::Impl::RoomsToBorrow(const GangState& gang) const {
-  const bool holder = gang.gang.job == reservation_.job;
-  const bool may_backfill = holder || MayBackfill(gang.gang);
+  const bool holds_reservation = gang.gang.job == reservation_.job;
+  const bool may_backfill = holds_reservation || MayBackfill(gang.gang);
   Rooms rooms(cell_.size());
   for (internal::WorkerIndex it = 0; it < cell_.size(); ++it) {
     const auto& worker = cell_.at(it);
@@ -167,7 +168,7 @@
       rooms[it].cost =
           gang.gang.checkpointable ? kUnderGuarantee : kUnderGuaranteeUnsaved;
     }
-    if (worker.held && !holder) rooms[it].cost += kBackfill;
+    if (worker.held && !holds_reservation) rooms[it].cost += kBackfill;
   }
   return rooms;
 }
@@ -193,19 +194,19 @@
 
 bool Planner::Impl::TryBorrow(GangState& gang, base::TimePoint now) {
   if (!internal::MayBorrow(gang.gang)) return false;
-  const bool holder = gang.gang.job == reservation_.job;
-  if (!holder && FailedBefore(gang)) return false;
+  const bool holds_reservation = gang.gang.job == reservation_.job;
+  if (!holds_reservation && FailedBefore(gang)) return false;
   auto place =
       Finder().Find(gang.gang, gang.gang.adjacency, RoomsToBorrow(gang));
   if (place.empty()) {
-    if (!holder) borrow_failures_.insert(BorrowKeyOf(gang.gang));
+    if (!holds_reservation) borrow_failures_.insert(BorrowKeyOf(gang.gang));
     return false;
   }
   gang.place = std::move(place);
-  gang.backfill = !holder && std::any_of(gang.place.begin(), gang.place.end(),
-                                         [&](const auto& it) {
-                                           return cell_.at(it.worker).held;
-                                         });
+  gang.backfill =
+      !holds_reservation &&
+      std::any_of(gang.place.begin(), gang.place.end(),
+                  [&](const auto& it) { return cell_.at(it.worker).held; });
   Start(gang, now);
   return true;
 }
--- a/src/placement/planner_evict.cc
+++ b/src/placement/planner_evict.cc
@@ -1,4 +1,4 @@
-// Victims: who has to stop so that a place is free, and what that loses.
+// Selects the gangs to stop to free a place and estimates the work lost.
 
 #include <algorithm>
 #include <map>
@@ -53,7 +53,7 @@
 
 double Planner::Impl::LostWork(const GangState& gang,
                                base::TimePoint now) const {
-  if (gang.phase == GangPhase::kArriving) return 0;
+  if (gang.phase == GangPhase::kAwaitingCapacity) return 0;
   const double ran = Seconds(now - gang.started);
   const double weight = gang.charge() * WeightOf(gang.gang);
   if (!gang.gang.checkpointable) return (ran + 1) * weight;
@@ -75,23 +75,22 @@
 }
 
 bool Planner::Impl::CanBeVictim(const GangState& gang, Victims victims) {
-  if (gang.phase == GangPhase::kArriving) return gang.borrowed();
+  if (gang.phase == GangPhase::kAwaitingCapacity) return gang.borrowed();
   if (gang.phase != GangPhase::kRunning) return false;
   return gang.borrowed() ||
          (victims == Victims::kMovable && gang.gang.checkpointable);
 }
 
-Planner::Impl::Clearing Planner::Impl::Clear(const Place& place,
-                                             Victims allowed,
-                                             base::TimePoint now) const {
-  Clearing clearing;
+Planner::Impl::EvictionPlan Planner::Impl::PlanEvictions(
+    const Place& place, Victims allowed, base::TimePoint now) const {
+  EvictionPlan eviction_plan;
   std::map<WorkerIndex, int> missing;
   for (const auto& it : place) {
     missing[it.worker] = it.total() - cell_.at(it.worker).left();
   }
   const auto chosen = [&](const GangState* it) {
-    return std::find(clearing.victims.begin(), clearing.victims.end(), it) !=
-           clearing.victims.end();
+    return std::find(eviction_plan.victims.begin(), eviction_plan.victims.end(),
+                     it) != eviction_plan.victims.end();
   };
   const auto take_from_missing = [&](const GangState& gang, int sign) {
     for (const auto& slot : gang.place) {
@@ -120,14 +119,14 @@
       }
     }
     if (best == nullptr) break;
-    clearing.victims.push_back(best);
+    eviction_plan.victims.push_back(best);
     take_from_missing(*best, 1);
   }
-  clearing.possible =
+  eviction_plan.possible =
       std::all_of(missing.begin(), missing.end(),
                   [](const auto& it) { return it.second <= 0; });
-  // Victims that later ones have made needless are spared.
-  auto& victims = clearing.victims;
+  // Drops victims that later choices have made unnecessary.
+  auto& victims = eviction_plan.victims;
   for (std::size_t i = 0; i < victims.size();) {
     take_from_missing(*victims[i], -1);
     const bool needless =
@@ -140,11 +139,11 @@
       ++i;
     }
   }
-  for (const auto* it : victims) clearing.lost_work += LostWork(*it, now);
-  return clearing;
+  for (const auto* it : victims) eviction_plan.lost_work += LostWork(*it, now);
+  return eviction_plan;
 }
 
-double Planner::Impl::ClearingCost(WorkerIndex index, int need, Victims allowed,
+double Planner::Impl::EvictionCost(WorkerIndex index, int need, Victims allowed,
                                    base::TimePoint now) const {
   int missing = need - cell_.at(index).left();
   if (missing <= 0) return 0;
@@ -164,7 +163,7 @@
   return cost;
 }
 
-void Planner::Impl::RelieveWorkers(base::TimePoint now) {
+void Planner::Impl::RelieveOverloadedWorkers(base::TimePoint now) {
   for (auto& entry : overfilled_) {
     const auto index = entry.first;
     auto& overfill = entry.second;
@@ -216,7 +215,7 @@
   return 0;
 }
 
-void Planner::Impl::Attribute(WorkerIndex index, std::int64_t memory_mb) {
+void Planner::Impl::AttributeMemory(WorkerIndex index, std::int64_t memory_mb) {
   // What has changed since the last report is due to the gangs that are newest
   // here: those seen in many reports are known well, and weigh little.
   auto change = static_cast<double>(memory_mb);
@@ -226,12 +225,12 @@
     return (1 + DeclaredOn(gang, index)) / (seen * seen * seen);
   };
   for (const auto* it : on_worker_[index]) {
-    if (it->phase == GangPhase::kArriving) continue;
+    if (it->phase == GangPhase::kAwaitingCapacity) continue;
     change -= MemoryOn(*it, index);
     weights += weight(*it);
   }
   for (auto* it : on_worker_[index]) {
-    if (it->phase == GangPhase::kArriving) continue;
+    if (it->phase == GangPhase::kAwaitingCapacity) continue;
     it->memory_mb.resize(it->place.size(), 0);
     const double part = change * weight(*it) / weights;
     for (std::size_t i = 0; i < it->place.size(); ++i) {
@@ -249,9 +248,9 @@
   const auto per_task =
       static_cast<std::int64_t>(static_cast<double>(gang.gang.needs.memory_mb) *
                                 used / std::max(1.0, declared));
-  const auto [past, added] = past_.try_emplace(gang.gang.job);
-  if (added) past_order_.push_back(gang.gang.job);
-  past->second.memory_mb = std::min(per_task, cell_.spec(index).memory_mb);
+  const auto [history, added] = history_.try_emplace(gang.gang.job);
+  if (added) history_order_.push_back(gang.gang.job);
+  history->second.memory_mb = std::min(per_task, cell_.spec(index).memory_mb);
 }
 
 }  // namespace lapishatch::placement
--- a/src/placement/planner_explain.cc
+++ b/src/placement/planner_explain.cc
@@ -13,7 +13,7 @@
 
 /// Shapes of gangs remembered as possible, at most: declared memory may make
 /// each gang another one.
-constexpr std::size_t kMostShapesKnown = 4096;
+constexpr std::size_t kMaxCachedShapes = 4096;
 
 std::string Plural(int n, const std::string& noun) {
   return std::to_string(n) + " " + noun + (n == 1 ? "" : "s");
@@ -87,7 +87,7 @@
            std::to_string(largest->memory_mb) + " MB";
   }
   if (!Finder().Find(gang, gang.adjacency, rooms).empty()) {
-    if (fits_empty_cell_.size() >= kMostShapesKnown) fits_empty_cell_.clear();
+    if (fits_empty_cell_.size() >= kMaxCachedShapes) fits_empty_cell_.clear();
     fits_empty_cell_.insert(key);
     return {};
   }
@@ -144,7 +144,7 @@
                 : "on its organisation's guaranteed capacity",
             0};
   }
-  if (gang->phase == GangPhase::kArriving) {
+  if (gang->phase == GangPhase::kAwaitingCapacity) {
     return {"queued",
             "has its place, and starts when the borrowed work there has "
             "stopped",
@@ -205,12 +205,12 @@
         {.gang = gang.gang,
          .placement = PlacementOf(gang),
          .evicting = gang.phase == GangPhase::kEvicting,
-         .awaiting_capacity = gang.phase == GangPhase::kArriving});
+         .awaiting_capacity = gang.phase == GangPhase::kAwaitingCapacity});
   }
   std::sort(snapshot.gangs.begin(), snapshot.gangs.end(),
             [](auto& a, auto& b) { return a.gang.job < b.gang.job; });
   for (const auto& it : book_.blocks()) {
-    if (it.dead) continue;
+    if (it.vacant) continue;
     BlockSnapshot block{.organisation = it.organisation,
                         .shape = it.shape,
                         .guaranteed = !it.retiring,
--- a/src/placement/planner_own.cc
+++ b/src/placement/planner_own.cc
@@ -18,8 +18,8 @@
 namespace {
 
 /// Preferences between places that lose the same work, in accelerator seconds.
-constexpr double kDisplacesBlocks = 0.01;
-constexpr double kWaitsForStops = 0.02;
+constexpr double kDisplacedBlockCost = 0.01;
+constexpr double kEvictionWaitCost = 0.02;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
   }
   auto best = FindOwnPlace(gang, in_use, now);
   const auto free = [&] {
-    return best.clearing.possible && best.clearing.victims.empty() &&
+    return best.eviction_plan.possible && best.eviction_plan.victims.empty() &&
            PhysicallyFree(best.place);
   };
   auto block = SmallestUnused(gang);
@@ -45,14 +45,15 @@
   }
   if (block != kNone && !free()) {
     auto moved = MoveWhereFree(gang, block, now);
-    if (moved.clearing.possible) {
+    if (moved.eviction_plan.possible) {
       best = std::move(moved);
     } else if (may_evict) {
-      const double limit = best.clearing.possible
-                               ? best.clearing.lost_work
+      const double limit = best.eviction_plan.possible
+                               ? best.eviction_plan.lost_work
                                : std::numeric_limits<double>::infinity();
       moved = MoveWhereCheapest(gang, block, limit, now);
-      if (moved.clearing.possible && moved.clearing.lost_work < limit) {
+      if (moved.eviction_plan.possible &&
+          moved.eviction_plan.lost_work < limit) {
         best = std::move(moved);
       }
     }
@@ -60,8 +61,8 @@
   if (!free()) {
     if (!may_evict) return false;
     // Several blocks together, for gangs beyond any one of them.
-    if (!best.clearing.possible) best = FindOwnPlace(gang, blocks, now);
-    if (!best.clearing.possible) return false;
+    if (!best.eviction_plan.possible) best = FindOwnPlace(gang, blocks, now);
+    if (!best.eviction_plan.possible) return false;
   }
   TakeOwn(gang, std::move(best), now);
   return true;
@@ -72,7 +73,7 @@
   gang.place = std::move(own.place);
   gang.uses = std::move(own.uses);
   book_.Use(gang.uses);
-  StartOrClaim(gang, own.clearing,
+  StartOrClaim(gang, own.eviction_plan,
                "its place is guaranteed to organisation " +
                    gang.gang.organisation.str() + ", which needs it for job " +
                    gang.gang.job.str(),
@@ -150,7 +151,7 @@
   for (WorkerIndex it = 0; it < cell_.size(); ++it) {
     if (rooms[it].accelerators == 0) continue;
     rooms[it].cost =
-        ClearingCost(it, rooms[it].accelerators, Victims::kBorrowed, now);
+        EvictionCost(it, rooms[it].accelerators, Victims::kBorrowed, now);
   }
   return OwnPlaceAt(Finder().Find(gang.gang, gang.gang.adjacency, rooms),
                     blocks, now);
@@ -162,7 +163,7 @@
   if (place.empty()) return own;
   own.uses = UsesFor(place, blocks);
   if (own.uses.empty()) return own;
-  own.clearing = Clear(place, Victims::kBorrowed, now);
+  own.eviction_plan = PlanEvictions(place, Victims::kBorrowed, now);
   own.place = std::move(place);
   return own;
 }
@@ -185,7 +186,7 @@
       continue;
     }
     rooms[it].accelerators = available;
-    if (worker.slack() < piece) rooms[it].cost = kDisplacesBlocks;
+    if (worker.slack() < piece) rooms[it].cost = kDisplacedBlockCost;
   }
   return MoveTo(gang, block, std::move(rooms), now);
 }
@@ -196,7 +197,8 @@
                                                          base::TimePoint now) {
   // Where it is now is always possible.
   auto best = FindOwnPlace(gang, {block}, now);
-  if (best.clearing.possible) limit = std::min(limit, best.clearing.lost_work);
+  if (best.eviction_plan.possible)
+    limit = std::min(limit, best.eviction_plan.lost_work);
   const auto shape = book_.blocks()[block].shape;
   const int worker_size = cell_.largest();
   const auto charges = cell_.ChargesOf(gang.gang.needs);
@@ -206,17 +208,17 @@
     const int piece = std::min(worker.capacity, shape.accelerators);
     if (worker.unpinned() < piece) continue;
     const int need = std::min(piece, gang.gang.tasks * charges[worker.type]);
-    const double cost = ClearingCost(it, need, Victims::kBorrowed, now);
+    const double cost = EvictionCost(it, need, Victims::kBorrowed, now);
     if (cost >= limit) continue;
     rooms[it].accelerators = shape.accelerators > worker_size ? piece : need;
     rooms[it].cost = cost;
-    if (worker.slack() < piece) rooms[it].cost += kDisplacesBlocks;
+    if (worker.slack() < piece) rooms[it].cost += kDisplacedBlockCost;
     if (worker.capacity - worker.used < need) {
-      rooms[it].cost += kWaitsForStops;
+      rooms[it].cost += kEvictionWaitCost;
     }
   }
   auto moved = MoveTo(gang, block, std::move(rooms), now);
-  if (!moved.clearing.possible || moved.clearing.lost_work >= limit) {
+  if (!moved.eviction_plan.possible || moved.eviction_plan.lost_work >= limit) {
     // The block may lie elsewhere now; what was found there still holds if not.
     return FindOwnPlace(gang, {block}, now);
   }
--- a/src/placement/planner_places.cc
+++ b/src/placement/planner_places.cc
@@ -62,22 +62,22 @@
 }
 
 void Planner::Impl::ClaimPlace(GangState& gang) {
-  gang.phase = GangPhase::kArriving;
+  gang.phase = GangPhase::kAwaitingCapacity;
   for (const auto& it : gang.place) {
-    cell_.at(it.worker).awaiting_capacity += it.total();
+    cell_.at(it.worker).claimed += it.total();
     on_worker_[it.worker].push_back(&gang);
   }
   AccountOf(gang.gang.organisation).running += gang.charge();
-  arriving_.push_back(&gang);
+  awaiting_capacity_.push_back(&gang);
 }
 
 void Planner::Impl::DropClaim(GangState& gang) {
   for (const auto& it : gang.place) {
-    cell_.at(it.worker).awaiting_capacity -= it.total();
+    cell_.at(it.worker).claimed -= it.total();
     std::erase(on_worker_[it.worker], &gang);
   }
   AccountOf(gang.gang.organisation).running -= gang.charge();
-  std::erase(arriving_, &gang);
+  std::erase(awaiting_capacity_, &gang);
   book_.Release(gang.uses);
   gang.uses.clear();
   Changed();
@@ -173,7 +173,7 @@
 void Planner::Impl::RepairBook() {
   Changed();
   // An arrival whose worker was lost on the way waits again.
-  const auto awaiting_capacity = arriving_;
+  const auto awaiting_capacity = awaiting_capacity_;
   for (auto* it : awaiting_capacity) {
     const bool lost = std::any_of(
         it->place.begin(), it->place.end(),
@@ -181,13 +181,13 @@
     if (lost) BackToQueue(*it);
   }
   book_.Repair();
-  if (broken_) DetachFromBroken();
+  if (has_broken_blocks_) DetachFromBroken();
 }
 
 void Planner::Impl::DetachFromBroken() {
-  broken_ = false;
-  for (const auto index : book_.Broken()) {
-    broken_ = true;
+  has_broken_blocks_ = false;
+  for (const auto index : book_.BrokenBlocks()) {
+    has_broken_blocks_ = true;
     // Only if the guarantee can then be honoured elsewhere: else its gangs
     // would lose what is left of it for nothing.
     auto cell = cell_;
@@ -205,12 +205,12 @@
     if (book.blocks()[index].in_use()) book.Reissue(index);
     book.Repair();
     if (missing(book) >= before) continue;
-    LeaveBlock(index);
+    VacateBlock(index);
     book_.Repair();
   }
 }
 
-void Planner::Impl::LeaveBlock(BlockIndex block) {
+void Planner::Impl::VacateBlock(BlockIndex block) {
   for (auto* it : GangsIn(block)) {
     if (internal::Evictable(it->gang)) MakeBorrowed(*it);
   }
@@ -232,32 +232,33 @@
   return found;
 }
 
-std::vector<GangState*> Planner::Impl::LeaversUnder(
+std::vector<GangState*> Planner::Impl::GangsLosingGuarantee(
     const internal::GuaranteeBook& book) {
-  std::vector<GangState*> leavers;
+  std::vector<GangState*> gangs;
   for (std::size_t i = 0; i < book.blocks().size(); ++i) {
     const auto& block = book.blocks()[i];
-    if (block.dead || !block.retiring) continue;
+    if (block.vacant || !block.retiring) continue;
     for (auto* it : GangsIn(static_cast<BlockIndex>(i))) {
-      if (it->phase != GangPhase::kArriving && !internal::Evictable(it->gang)) {
+      if (it->phase != GangPhase::kAwaitingCapacity &&
+          !internal::Evictable(it->gang)) {
         continue;
       }
-      if (std::find(leavers.begin(), leavers.end(), it) != leavers.end()) {
+      if (std::find(gangs.begin(), gangs.end(), it) != gangs.end()) {
         continue;
       }
-      leavers.push_back(it);
+      gangs.push_back(it);
     }
   }
-  return leavers;
+  return gangs;
 }
 
-std::string Planner::Impl::WhyNotTogether(
+std::string Planner::Impl::WhyInfeasible(
     const std::vector<Guarantee>& guarantees) {
   auto cell = cell_;
   auto book = book_;
   book.Rebind(cell);
   book.Set(guarantees);
-  for (auto* it : LeaversUnder(book)) book.Release(it->uses);
+  for (auto* it : GangsLosingGuarantee(book)) book.Release(it->uses);
   book.Repair();
   auto shortfalls = book.Shortfalls();
   // What was short before through lost hardware is no reason against a change.
--- a/src/placement/planner_starving.cc
+++ b/src/placement/planner_starving.cc
@@ -1,6 +1,6 @@
 // Reservations for gangs that have waited too long. Nothing here looks at a
-// declared run time: what is reserved is freed by evicting borrowed work that
-// has had its turn, if it does not end before.
+// declared run time: reserved capacity is freed by evicting borrowed work that
+// has run its minimum time, unless that work ends earlier.
 
 #include <algorithm>
 #include <numeric>
@@ -36,22 +36,23 @@
   return 1;
 }
 
-/// A gang is not stopped for a starving one before it has run so long.
-constexpr base::Duration kFirstTurn{600'000};
+/// Minimum run time before a gang may be stopped for a starving one.
+constexpr base::Duration kMinimumRunTime{600'000};
 
-/// Looking for a place to reserve is dear, and starving takes minutes.
-constexpr base::Duration kLookEvery{10'000};
+/// The search for a place to reserve is expensive, and a gang starves only
+/// after minutes.
+constexpr base::Duration kReservationInterval{10'000};
 
 }  // namespace
 
 void Planner::Impl::ServeStarving(base::TimePoint now) {
-  if (!ReservationStands()) DropReservation();
+  if (!IsReservationValid()) DropReservation();
   GangState* gang = nullptr;
   if (!reservation_.job.empty()) {
     gang = FindGang(reservation_.job);
   } else {
     if (now < next_reservation_) return;
-    next_reservation_ = now + kLookEvery;
+    next_reservation_ = now + kReservationInterval;
     gang = OldestStarving(now);
     if (gang == nullptr || !Reserve(*gang, now)) return;
     next_reservation_ = now;
@@ -64,16 +65,18 @@
     done();
     return;
   }
-  const auto clearing = Clear(reservation_.place, Victims::kBorrowed, now);
-  if (!clearing.possible) return;
-  const bool all_had_their_turn =
-      std::all_of(clearing.victims.begin(), clearing.victims.end(),
-                  [&](const auto* it) { return HasRunItsTurn(*it, now); });
-  if (!all_had_their_turn || clearing.lost_work > AcceptedLoss(*gang, now)) {
+  const auto eviction_plan =
+      PlanEvictions(reservation_.place, Victims::kBorrowed, now);
+  if (!eviction_plan.possible) return;
+  const bool all_ran_minimum_time =
+      std::all_of(eviction_plan.victims.begin(), eviction_plan.victims.end(),
+                  [&](const auto* it) { return HasRunMinimumTime(*it, now); });
+  if (!all_ran_minimum_time ||
+      eviction_plan.lost_work > AcceptedLoss(*gang, now)) {
     return;
   }
   gang->place = reservation_.place;
-  StartOrClaim(*gang, clearing,
+  StartOrClaim(*gang, eviction_plan,
                "job " + gang->gang.job.str() +
                    " has waited too long for a place of this size",
                now);
@@ -118,7 +121,7 @@
   Changed();
 }
 
-bool Planner::Impl::ReservationStands() const {
+bool Planner::Impl::IsReservationValid() const {
   if (reservation_.job.empty()) return true;
   const auto* gang = FindGang(reservation_.job);
   if (gang == nullptr || gang->phase != internal::GangPhase::kQueued) {
@@ -132,10 +135,10 @@
 
 double Planner::Impl::AcceptedLoss(const GangState& gang,
                                    base::TimePoint now) const {
-  // As in renting until the rent has cost a share of buying: what is lost stays
-  // in proportion to what was waited, whatever was declared. The proportion
-  // grows, so that no wait is endless: work that can't be checkpointed loses
-  // ever more the longer it is waited for.
+  // As in the ski-rental problem, the accepted loss is proportional to the time
+  // waited, independent of declared run times. The factor grows with the wait,
+  // so that every wait ends: work that can't be checkpointed loses more the
+  // longer it runs.
   const double waited =
       std::chrono::duration<double>(now - gang.queued).count();
   const double patience =
@@ -145,15 +148,15 @@
          gang.gang.accelerators();
 }
 
-bool Planner::Impl::HasRunItsTurn(const GangState& gang,
-                                  base::TimePoint now) const {
-  if (gang.phase == internal::GangPhase::kArriving || gang.backfill) {
+bool Planner::Impl::HasRunMinimumTime(const GangState& gang,
+                                      base::TimePoint now) const {
+  if (gang.phase == internal::GangPhase::kAwaitingCapacity || gang.backfill) {
     return true;
   }
   // Twice as long after every eviction, so that each gang runs to its end at
   // last, however long that takes.
   const int doublings = std::min(gang.evictions, 16);
-  const auto turn = kFirstTurn * (1 << doublings);
+  const auto turn = kMinimumRunTime * (1 << doublings);
   return now - gang.started >= turn;
 }
 
--- a/src/placement/shape.h
+++ b/src/placement/shape.h
@@ -30,7 +30,7 @@
   friend auto operator<=>(const Shape&, const Shape&) = default;
 };
 
-/// `count` blocks of `shape` that one organisation can have back at any time.
+/// `count` blocks of `shape` that one organisation can reclaim at any time.
 struct Guarantee {
   base::OrganisationName organisation;
   Shape shape;
--- a/src/placement/start_failure_tracker.cc
+++ b/src/placement/start_failure_tracker.cc
@@ -22,7 +22,7 @@
 bool StartFailureTracker::IsJobAtFault(const base::JobName& job) const {
   const auto it = by_job_.find(job);
   if (it == by_job_.end()) return false;
-  // Workers that fail everybody say nothing about this job.
+  // A worker on which many jobs fail is no evidence against this job.
   const auto sound =
       std::count_if(it->second.begin(), it->second.end(), [&](const auto& on) {
         const auto& jobs = by_worker_.at(on);
@@ -48,7 +48,7 @@
 
 void StartFailureTracker::RecordStart(const base::JobName& job,
                                       const base::WorkerName& worker) {
-  // It can start something, and the job can start somewhere.
+  // The worker can start a job, and the job can start on some worker.
   Forget(worker);
   Forget(job);
 }
--- a/src/placement/start_failure_tracker.h
+++ b/src/placement/start_failure_tracker.h
@@ -11,52 +11,56 @@
 
 namespace lapishatch::placement {
 
-/// Who is to blame for failed starts.
+/// Probable cause of failed starts.
 enum class FailureCause : std::uint8_t {
-  /// Too little is known.
+  /// There is not enough evidence.
   kUnknown,
-  /// Different jobs fail on the worker, and they run elsewhere or have hardly
-  /// been tried there.
+  /// Different jobs fail on the worker, and they run on other workers or have
+  /// hardly been tried there.
   kWorker,
-  /// The job fails on different workers, on which others start.
+  /// The job fails on different workers on which other jobs start.
   kJob,
 };
 
-/// Remembers which jobs lately failed to start on which workers. A worker is
-/// blamed by the number of distinct jobs that fail on it, a job by the number
-/// of distinct workers on which it fails; a job that is blamed counts against
-/// no worker, and a worker that is blamed against no job, so that one bad job
-/// can't take workers out and one bad worker can't condemn jobs. Pure.
+/// Tracks recent failed starts by job and worker. A worker is at fault when
+/// enough distinct jobs fail on it, a job when it fails on enough distinct
+/// workers. Failures of a faulty job do not count against workers, nor those of
+/// a faulty worker against jobs, so that one bad job can't quarantine workers
+/// and one bad worker can't fail jobs. Free of I/O.
 class StartFailureTracker {
  public:
   struct Options {
-    /// Distinct jobs that fail on a worker, and on no other that starts them.
+    /// Distinct jobs that must fail on a worker, and on no other that starts
+    /// them, before the worker is at fault.
     std::size_t min_jobs_failed_on_worker = 3;
-    /// Distinct workers on which a job fails.
+    /// Distinct workers on which a job must fail before the job is at fault.
     std::size_t min_workers_failed_by_job = 3;
-    /// Older failures are forgotten.
+    /// Failures older than this are discarded.
     base::Duration window{1'800'000};
-    /// Failures remembered at most.
+    /// Maximum number of failures kept.
     std::size_t max_failures = 10'000;
   };
 
   StartFailureTracker() : StartFailureTracker(Options()) {}
   explicit StartFailureTracker(Options options) : options_(options) {}
 
-  /// A start of `job` on `worker` has failed. Returns who is to blame by now.
+  /// Records a failed start of `job` on `worker` and returns the probable
+  /// cause.
   FailureCause RecordFailure(const base::JobName& job,
                              const base::WorkerName& worker,
                              base::TimePoint now);
 
-  /// `job` runs on `worker`: what failed there before was not the worker's
-  /// fault, or has passed.
+  /// Records that `job` started on `worker`. Discards the earlier failures of
+  /// both: they were not the worker's fault, or the fault is gone.
   void RecordStart(const base::JobName& job, const base::WorkerName& worker);
 
-  /// The job is gone, or the worker is released: forget its failures.
+  /// Discards the failures of a job that is gone or of a worker that is
+  /// released.
   void Forget(const base::JobName& job);
   void Forget(const base::WorkerName& worker);
 
-  /// Workers on which a job has lately failed, so that it is tried elsewhere.
+  /// Workers on which a job has recently failed, so that the caller can avoid
+  /// them.
   std::vector<base::WorkerName> FailedOn(const base::JobName& job) const;
 
   std::size_t size() const { return failures_.size(); }
--- a/src/placement/worker_quarantine.h
+++ b/src/placement/worker_quarantine.h
@@ -10,21 +10,21 @@
 
 namespace lapishatch::placement {
 
-/// Workers kept from new work because they fail what they start: they would
-/// else attract it, for they always look free. Each time is longer than the
-/// one before, with jitter so that workers which failed together do not come
-/// back together, and never more than a share of the cell is out at once. Pure;
-/// deterministic for the same seed and history.
+/// Keeps workers that fail the tasks they start from getting new work, which
+/// they would otherwise attract because they always look free. Each quarantine
+/// is longer than the previous one, with jitter so that workers which failed
+/// together are not released together. The share of the cell in quarantine is
+/// bounded. Free of I/O; deterministic for the same seed and calls.
 class WorkerQuarantine {
  public:
   struct Options {
-    /// Most workers out at once, as a share of the cell, rounded down, but one
-    /// at least.
+    /// Maximum share of the cell's workers in quarantine, rounded down, but at
+    /// least one worker.
     double max_share = 0.2;
     base::Duration initial_duration{60'000};
     base::Duration max_duration{3'600'000};
-    /// A worker that has been well for so long starts from `initial_duration`
-    /// again.
+    /// A worker that has been out of quarantine for this long starts from
+    /// `initial_duration` again.
     base::Duration reset_after{7'200'000};
     std::uint64_t seed = 1;
   };
@@ -32,29 +32,32 @@
   explicit WorkerQuarantine(Options options)
       : options_(options), random_(options.seed) {}
 
-  /// Puts a worker of a cell of `cell_size` workers out. False when too many
-  /// are out already, or it is out.
+  /// Quarantines a worker of a cell of `cell_size` workers. Returns false when
+  /// too many workers are in quarantine, or this one already is.
   bool Add(const base::WorkerName& worker, std::size_t cell_size,
            base::TimePoint now);
 
-  /// Workers whose time is over; they are in again.
+  /// Ends the quarantines that have expired and returns their workers.
   std::vector<base::WorkerName> ReleaseExpired(base::TimePoint now);
 
-  /// An operator lets a worker in again, or it has left the cell.
+  /// Ends a worker's quarantine and discards its history, when an operator
+  /// releases it or it has left the cell.
   void Remove(const base::WorkerName& worker);
 
   bool Contains(const base::WorkerName& worker) const;
 
   std::size_t size() const { return quarantined_count_; }
 
-  /// When the next one is released; the far future when none is out.
+  /// Time of the next release; TimePoint::max() when no worker is in
+  /// quarantine.
   base::TimePoint NextRelease() const;
 
  private:
   struct Entry {
     base::Backoff backoff;
     bool quarantined = false;
-    /// While out: when it is released; while in: since when.
+    /// Time of release while in quarantine, otherwise the time of the last
+    /// release.
     base::TimePoint changes_at;
   };
 
--- a/test/placement/cell_builder.h
+++ b/test/placement/cell_builder.h
@@ -55,7 +55,7 @@
 }
 
 /// The jobs that `decisions` start, in order.
-inline std::vector<std::string> Started(
+inline std::vector<std::string> StartedJobs(
     const std::vector<Decision>& decisions) {
   std::vector<std::string> jobs;
   for (const auto& it : decisions) {
@@ -66,7 +66,7 @@
 }
 
 /// The jobs that `decisions` evict, in order.
-inline std::vector<std::string> Evicted(
+inline std::vector<std::string> EvictedJobs(
     const std::vector<Decision>& decisions) {
   std::vector<std::string> jobs;
   for (const auto& it : decisions) {
--- a/test/placement/cell_snapshot_test.cc
+++ b/test/placement/cell_snapshot_test.cc
@@ -9,7 +9,7 @@
 
 /// Two workers; "antenas" has one block of 8, and runs a gang in it; "fianza"
 /// borrows the other worker.
-CellSnapshot Sound() {
+CellSnapshot ValidCell() {
   CellSnapshot snapshot;
   snapshot.workers = {{MakeWorker(0)}, {MakeWorker(1)}};
   snapshot.guarantees = {MakeGuarantee("antenas", 8, Adjacency::kWorker, 1)};
@@ -29,95 +29,95 @@
   return snapshot;
 }
 
-bool Finds(const CellSnapshot& snapshot, const std::string& problem) {
+bool ReportsProblem(const CellSnapshot& snapshot, const std::string& problem) {
   INFO(CheckCellInvariant(snapshot));
   return CheckCellInvariant(snapshot).find(problem) != std::string::npos;
 }
 
 TEST_CASE("a sound cell has no problem") {
-  CHECK(CheckCellInvariant(Sound()) == kNoProblem);
+  CHECK(CheckCellInvariant(ValidCell()) == kNoProblem);
 }
 
 TEST_CASE("work on another's block that is not borrowed is found") {
-  auto snapshot = Sound();
+  auto snapshot = ValidCell();
   snapshot.gangs[1].placement.borrowed = false;
-  CHECK(Finds(snapshot, "neither borrowed nor in a guaranteed block"));
+  CHECK(ReportsProblem(snapshot, "neither borrowed nor in a guaranteed block"));
 }
 
 TEST_CASE("borrowed work that can't be evicted is found") {
-  auto snapshot = Sound();
+  auto snapshot = ValidCell();
   snapshot.gangs[1].gang.checkpointable = false;
   snapshot.gangs[1].gang.idempotent = false;
-  CHECK(Finds(snapshot, "can't be evicted"));
+  CHECK(ReportsProblem(snapshot, "can't be evicted"));
   snapshot.gangs[1].gang.may_be_lost = true;
   CHECK(CheckCellInvariant(snapshot) == kNoProblem);
 }
 
 TEST_CASE("a guarantee without its block is found") {
-  auto snapshot = Sound();
+  auto snapshot = ValidCell();
   snapshot.guarantees[0].count = 2;
-  CHECK(Finds(snapshot, "1 blocks too few"));
+  CHECK(ReportsProblem(snapshot, "1 blocks too few"));
 }
 
 TEST_CASE("overlapping blocks are found") {
-  auto snapshot = Sound();
+  auto snapshot = ValidCell();
   snapshot.guarantees[0].count = 2;
   snapshot.blocks.push_back(snapshot.blocks[0]);
-  CHECK(Finds(snapshot, "overlap on worker w0"));
+  CHECK(ReportsProblem(snapshot, "overlap on worker w0"));
 }
 
 TEST_CASE("a block of the wrong size, spread or split is found") {
-  auto snapshot = Sound();
+  auto snapshot = ValidCell();
   snapshot.blocks[0].parts = {{MakeWorker(0).name, 4}};
-  CHECK(Finds(snapshot, "wrong size"));
+  CHECK(ReportsProblem(snapshot, "wrong size"));
   snapshot.blocks[0].parts = {{MakeWorker(0).name, 4}, {MakeWorker(1).name, 4}};
-  CHECK(Finds(snapshot, "takes parts of several workers"));
+  CHECK(ReportsProblem(snapshot, "takes parts of several workers"));
   snapshot.guarantees[0].shape.accelerators = 16;
   snapshot.blocks[0].shape.accelerators = 16;
   snapshot.blocks[0].parts = {{MakeWorker(0).name, 8}, {MakeWorker(1).name, 8}};
-  CHECK(Finds(snapshot, "is on several workers"));
+  CHECK(ReportsProblem(snapshot, "is on several workers"));
 }
 
 TEST_CASE("an unused block on a worker that takes nothing new is found") {
-  auto snapshot = Sound();
+  auto snapshot = ValidCell();
   snapshot.gangs.erase(snapshot.gangs.begin());
   snapshot.workers[0].health = WorkerHealth::kUnreachable;
-  CHECK(Finds(snapshot, "is on a worker that takes nothing new"));
+  CHECK(ReportsProblem(snapshot, "is on a worker that takes nothing new"));
 }
 
 TEST_CASE("an overfilled worker is found, also one that is to come") {
-  auto snapshot = Sound();
+  auto snapshot = ValidCell();
   auto more = snapshot.gangs[1];
   more.gang.job = base::JobName("more");
   more.placement.tasks[0].accelerators = 0;
   snapshot.gangs.push_back(more);
-  CHECK(Finds(snapshot, "worker w1 is overfilled"));
+  CHECK(ReportsProblem(snapshot, "worker w1 is overfilled"));
   snapshot.gangs.back().awaiting_capacity = true;
-  CHECK(Finds(snapshot, "worker w1 will be overfilled"));
+  CHECK(ReportsProblem(snapshot, "worker w1 will be overfilled"));
   snapshot.gangs[1].evicting = true;
   CHECK(CheckCellInvariant(snapshot) == kNoProblem);
 }
 
 TEST_CASE("a gang in part, or too far apart, is found") {
-  auto snapshot = Sound();
+  auto snapshot = ValidCell();
   snapshot.gangs[1].gang.tasks = 2;
-  CHECK(Finds(snapshot, "placed in part"));
-  snapshot = Sound();
+  CHECK(ReportsProblem(snapshot, "placed in part"));
+  snapshot = ValidCell();
   snapshot.gangs[1].gang = MakeGang("borrowed", "fianza", 2, 4);
   snapshot.gangs[1].placement.tasks = {{0, MakeWorker(1).name, 0xf},
                                        {1, MakeWorker(9).name, 0xf}};
   snapshot.workers.push_back({MakeWorker(9)});
-  CHECK(Finds(snapshot, "in several racks"));
+  CHECK(ReportsProblem(snapshot, "in several racks"));
   snapshot.gangs[1].gang.adjacency = Adjacency::kWorker;
-  CHECK(Finds(snapshot, "on several workers"));
+  CHECK(ReportsProblem(snapshot, "on several workers"));
 }
 
 TEST_CASE("two tasks on one accelerator are found") {
-  auto snapshot = Sound();
+  auto snapshot = ValidCell();
   snapshot.gangs[1].gang = MakeGang("borrowed", "fianza", 2, 4);
   snapshot.gangs[1].placement.tasks = {{0, MakeWorker(1).name, 0x0f},
                                        {1, MakeWorker(1).name, 0x18}};
-  CHECK(Finds(snapshot, "two tasks hold one accelerator"));
+  CHECK(ReportsProblem(snapshot, "two tasks hold one accelerator"));
 }
 
 }  // namespace
--- a/test/placement/history.cc
+++ b/test/placement/history.cc
@@ -75,7 +75,7 @@
   }
   auto problem = Check();
   if (!problem.empty()) return "before deciding: " + problem;
-  problem = Carry(planner_.Decide(now_));
+  problem = ApplyDecisions(planner_.Decide(now_));
   if (!problem.empty()) return problem;
   return Check();
 }
@@ -173,7 +173,7 @@
   }
 }
 
-std::string History::Carry(const std::vector<Decision>& decisions) {
+std::string History::ApplyDecisions(const std::vector<Decision>& decisions) {
   for (const auto& it : decisions) {
     if (const auto* start = std::get_if<StartGang>(&it)) {
       const auto gang = queued_.find(start->job);
--- a/test/placement/history.h
+++ b/test/placement/history.h
@@ -10,7 +10,7 @@
 
 namespace lapishatch::placement {
 
-/// What can happen to a cell.
+/// Kinds of event in a simulated history.
 enum class StepKind : std::uint8_t {
   kSubmit,
   kEnd,
@@ -62,7 +62,7 @@
   void ToggleWorker(const Step& step);
   void NewOwner();
   std::vector<Guarantee> Guarantees(int variant) const;
-  std::string Carry(const std::vector<Decision>& decisions);
+  std::string ApplyDecisions(const std::vector<Decision>& decisions);
   std::string Check() const;
 
   int per_rack_;
--- a/test/placement/invariant_test.cc
+++ b/test/placement/invariant_test.cc
@@ -60,7 +60,7 @@
   CheckHistories("all histories", kAllKinds);
 }
 
-// Histories that broke the invariant once, as they were shrunk.
+// Regression tests: shrunk histories that violated the invariant.
 
 TEST_CASE("a block for one rack does not follow a gang across racks") {
   for (const int per_rack : {1, 2, 3}) {
--- a/test/placement/packing_oracle.h
+++ b/test/placement/packing_oracle.h
@@ -11,8 +11,8 @@
 namespace lapishatch::placement {
 
 /// Tries every way to place the unused guaranteed shapes of a small cell of
-/// equal workers around the blocks in use. Knows nothing of the places that
-/// the planner has chosen for them.
+/// equal workers around the blocks in use. Ignores the places that the planner
+/// has chosen for them.
 class PackingOracle {
  public:
   explicit PackingOracle(const CellSnapshot& snapshot) {
--- a/test/placement/policy_test.cc
+++ b/test/placement/policy_test.cc
@@ -27,7 +27,7 @@
   planner.Submit(MakeGang("newer", "b", 1, 2), At(2));
   planner.Submit(urgent, At(3));
   // Organisation "a" has borrowed for its urgent gang, so "b" is before it.
-  CHECK(Started(planner.Decide(At(4))) == Jobs{"urgent", "newer", "older"});
+  CHECK(StartedJobs(planner.Decide(At(4))) == Jobs{"urgent", "newer", "older"});
 }
 
 TEST_CASE("weights make shares") {
@@ -39,7 +39,8 @@
     planner.Submit(MakeGang("l" + std::to_string(i), "light", 1, 1), At(i));
   }
   int heavy = 0;
-  for (const auto& it : Started(planner.Decide(At(20)))) heavy += it[0] == 'h';
+  for (const auto& it : StartedJobs(planner.Decide(At(20))))
+    heavy += it[0] == 'h';
   CHECK(heavy == 6);
 }
 
@@ -54,7 +55,7 @@
   urgent.work_class = base::WorkClass::kUrgent;
   planner.Submit(urgent, At(3 * 3600));
   planner.ReportEnded(JobName("running"), At(3 * 3600));
-  CHECK(Started(planner.Decide(At(3 * 3600))) == Jobs{"quiet"});
+  CHECK(StartedJobs(planner.Decide(At(3 * 3600))) == Jobs{"quiet"});
 }
 
 TEST_CASE("no organisation has more running than its limit") {
@@ -62,7 +63,7 @@
   planner.SetOrganisations({{base::OrganisationName("a"), 1, 12}});
   planner.Submit(MakeGang("first", "a", 1, 8), At(0));
   planner.Submit(MakeGang("second", "a", 1, 8), At(1));
-  CHECK(Started(planner.Decide(At(2))) == Jobs{"first"});
+  CHECK(StartedJobs(planner.Decide(At(2))) == Jobs{"first"});
   CHECK(planner.Explain(JobName("second"), At(2)).reason ==
         "organisation a has 8 of at most 12 accelerators running");
   CHECK(planner.Submit(MakeGang("never", "a", 2, 8), At(3))
@@ -119,7 +120,7 @@
   planner.Submit(gang, At(0));
   planner.Submit(MakeGang("b", "a", 1, 8), At(1));
   planner.Submit(MakeGang("c", "a", 1, 4), At(2));
-  CHECK(Started(planner.Decide(At(3))) == Jobs{"a", "c"});
+  CHECK(StartedJobs(planner.Decide(At(3))) == Jobs{"a", "c"});
   CHECK(planner.free_accelerators() == 0);
 }
 
@@ -135,10 +136,10 @@
   planner.Submit(claim, At(0));
   planner.Submit(second, At(0));
   const auto decisions = planner.Decide(At(1));
-  REQUIRE(Started(decisions).size() == 1);
+  REQUIRE(StartedJobs(decisions).size() == 1);
   CHECK_FALSE(std::get<StartGang>(decisions[0]).placement.borrowed);
   planner.ReportEnded(claim.job, At(100'000));
-  CHECK(Started(planner.Decide(At(100'000))) == Jobs{"second"});
+  CHECK(StartedJobs(planner.Decide(At(100'000))) == Jobs{"second"});
 }
 
 TEST_CASE("an unused block moves to free capacity instead of evicting") {
@@ -149,8 +150,8 @@
   planner.Decide(At(0));
   planner.Submit(MakeGang("owned", "owner", 1, 8), At(1));
   const auto decisions = planner.Decide(At(1));
-  CHECK(Started(decisions) == Jobs{"owned"});
-  CHECK(Evicted(decisions).empty());
+  CHECK(StartedJobs(decisions) == Jobs{"owned"});
+  CHECK(EvictedJobs(decisions).empty());
   CHECK(planner.CheckInvariant() == kNoProblem);
 }
 
@@ -167,7 +168,7 @@
   planner.Submit(young, At(5000));
   planner.Decide(At(5000));
   planner.Submit(MakeGang("owned", "owner", 1, 8), At(6000));
-  CHECK(Evicted(planner.Decide(At(6000))) == Jobs{"young"});
+  CHECK(EvictedJobs(planner.Decide(At(6000))) == Jobs{"young"});
 }
 
 TEST_CASE("who waits for stops is not overtaken by who comes later") {
@@ -181,14 +182,14 @@
   }
   planner.Decide(At(0));
   planner.Submit(MakeGang("four", "first", 1, 4), At(100));
-  const auto for_four = Evicted(planner.Decide(At(100)));
+  const auto for_four = EvictedJobs(planner.Decide(At(100)));
   REQUIRE(for_four.size() == 2);
   planner.Submit(MakeGang("two", "later", 1, 2), At(102));
-  REQUIRE(Evicted(planner.Decide(At(102))).size() == 1);
+  REQUIRE(EvictedJobs(planner.Decide(At(102))).size() == 1);
   planner.ReportEnded(JobName(for_four[0]), At(103));
-  CHECK(Started(planner.Decide(At(103))).empty());
+  CHECK(StartedJobs(planner.Decide(At(103))).empty());
   planner.ReportEnded(JobName(for_four[1]), At(104));
-  CHECK(Started(planner.Decide(At(104))) == Jobs{"four"});
+  CHECK(StartedJobs(planner.Decide(At(104))) == Jobs{"four"});
 }
 
 TEST_CASE("quiet work that was evicted queues behind what has not run yet") {
@@ -198,24 +199,24 @@
   old.work_class = base::WorkClass::kQuiet;
   old.submitted = At(0);
   planner.Submit(old, At(0));
-  CHECK(Started(planner.Decide(At(0))) == Jobs{"old"});
+  CHECK(StartedJobs(planner.Decide(At(0))) == Jobs{"old"});
   auto fresh = MakeGang("fresh", "b", 1, 8);
   fresh.work_class = base::WorkClass::kQuiet;
   planner.Submit(fresh, At(5));
   planner.Submit(MakeGang("owned", "owner", 1, 8), At(10));
-  CHECK(Evicted(planner.Decide(At(10))) == Jobs{"old"});
+  CHECK(EvictedJobs(planner.Decide(At(10))) == Jobs{"old"});
   planner.ReportEnded(JobName("old"), At(12));
   planner.Submit(old, At(12));
-  CHECK(Started(planner.Decide(At(12))) == Jobs{"owned"});
+  CHECK(StartedJobs(planner.Decide(At(12))) == Jobs{"owned"});
   planner.ReportEnded(JobName("owned"), At(60));
-  CHECK(Started(planner.Decide(At(60))) == Jobs{"fresh"});
+  CHECK(StartedJobs(planner.Decide(At(60))) == Jobs{"fresh"});
 }
 
 TEST_CASE("a small urgent gang borrows before it pins a larger block") {
   auto planner = MakeCell(2);
   planner.SetGuarantees({MakeGuarantee("owner", 8, Adjacency::kWorker, 1)});
   planner.Submit(MakeGang("other", "a", 1, 4), At(0));
-  CHECK(Started(planner.Decide(At(0))) == Jobs{"other"});
+  CHECK(StartedJobs(planner.Decide(At(0))) == Jobs{"other"});
   auto urgent = MakeGang("urgent", "owner", 1, 1);
   urgent.work_class = base::WorkClass::kUrgent;
   planner.Submit(urgent, At(1));
@@ -234,18 +235,18 @@
     planner.Submit(quiet, At(0));
   }
   planner.Submit(MakeGang("normal", "other", 1, 4), At(0));
-  CHECK(Started(planner.Decide(At(0))).size() == 3);
+  CHECK(StartedJobs(planner.Decide(At(0))).size() == 3);
   planner.Submit(MakeGang("claims", "first", 1, 4), At(100));
-  CHECK(Evicted(planner.Decide(At(100))).size() == 2);
+  CHECK(EvictedJobs(planner.Decide(At(100))).size() == 2);
   planner.ReportEnded(JobName("quiet0"), At(101));
   CHECK(planner.Decide(At(101)).empty());
   planner.Submit(MakeGang("later", "second", 1, 1), At(102));
   planner.Submit(MakeGang("small", "third", 1, 2), At(102));
   const auto decisions = planner.Decide(At(102));
-  CHECK(Evicted(decisions) == Jobs{"normal"});
-  CHECK(Started(decisions).empty());
+  CHECK(EvictedJobs(decisions) == Jobs{"normal"});
+  CHECK(StartedJobs(decisions).empty());
   planner.ReportEnded(JobName("quiet1"), At(103));
-  CHECK(Started(planner.Decide(At(103))) == Jobs{"claims"});
+  CHECK(StartedJobs(planner.Decide(At(103))) == Jobs{"claims"});
 }
 
 TEST_CASE("urgent work takes over the guarantee of its own quiet work") {
@@ -256,11 +257,11 @@
   quiet.work_class = base::WorkClass::kQuiet;
   planner.Submit(quiet, At(0));
   planner.Submit(MakeGang("other", "other", 1, 8), At(0));
-  CHECK(Started(planner.Decide(At(0))).size() == 2);
+  CHECK(StartedJobs(planner.Decide(At(0))).size() == 2);
   auto urgent = MakeGang("urgent", "owner", 1, 8);
   urgent.work_class = base::WorkClass::kUrgent;
   planner.Submit(urgent, At(1000));
-  CHECK(Evicted(planner.Decide(At(1000))).size() == 1);
+  CHECK(EvictedJobs(planner.Decide(At(1000))).size() == 1);
   CHECK(planner.CheckInvariant() == kNoProblem);
 }
 
@@ -270,11 +271,11 @@
     planner.Submit(MakeGang("j" + std::to_string(i), "a", 1, 1), At(0));
   }
   planner.Submit(MakeGang("large", "b", 8, 8), At(1));
-  CHECK(Started(planner.Decide(At(1))).size() == 64);
+  CHECK(StartedJobs(planner.Decide(At(1))).size() == 64);
   for (int i = 0; i < 64; ++i) {
     planner.ReportEnded(JobName("j" + std::to_string(i)), At(2));
   }
-  CHECK(Started(planner.Decide(At(2))) == Jobs{"large"});
+  CHECK(StartedJobs(planner.Decide(At(2))) == Jobs{"large"});
 }
 
 TEST_CASE("a starving gang gets its place from gangs that never end") {
@@ -282,16 +283,16 @@
   for (int i = 0; i < 4; ++i) {
     planner.Submit(MakeGang("small" + std::to_string(i), "a", 1, 4), At(0));
   }
-  CHECK(Started(planner.Decide(At(0))).size() == 4);
+  CHECK(StartedJobs(planner.Decide(At(0))).size() == 4);
   auto large = MakeGang("large", "b", 2, 8);
   large.declared_runtime = base::Duration(1);
   planner.Submit(large, At(10));
   CHECK(planner.Decide(At(10)).empty());
   CHECK(planner.Decide(At(300)).empty());
-  const auto evicted = Evicted(planner.Decide(At(3000)));
+  const auto evicted = EvictedJobs(planner.Decide(At(3000)));
   CHECK(evicted.size() == 4);
   for (const auto& it : evicted) planner.ReportEnded(JobName(it), At(3005));
-  CHECK(Started(planner.Decide(At(3005))) == Jobs{"large"});
+  CHECK(StartedJobs(planner.Decide(At(3005))) == Jobs{"large"});
 }
 
 TEST_CASE("a starving gang finds its place in any rack of a large cell") {
@@ -304,11 +305,11 @@
       planner.SetHealth(MakeWorker(i).name, WorkerHealth::kDraining);
     }
     planner.Submit(MakeGang("small", "a", 1, 4), At(0));
-    CHECK(Started(planner.Decide(At(0))) == Jobs{"small"});
+    CHECK(StartedJobs(planner.Decide(At(0))) == Jobs{"small"});
     planner.Submit(MakeGang("large", "b", 1, 8), At(10));
     Jobs evicted;
     for (int now = 1000; now < 1100 && evicted.empty(); now += 10) {
-      evicted = Evicted(planner.Decide(At(now)));
+      evicted = EvictedJobs(planner.Decide(At(now)));
     }
     CHECK(evicted == Jobs{"small"});
   }
@@ -322,7 +323,7 @@
   planner.Decide(At(0));
   planner.Submit(MakeGang("waiting", "b", 1, 8), At(10));
   int now = 10;
-  while (now < 48 * 3600 && Evicted(planner.Decide(At(now))).empty()) {
+  while (now < 48 * 3600 && EvictedJobs(planner.Decide(At(now))).empty()) {
     now += 60;
   }
   CHECK(now < 48 * 3600);
@@ -332,14 +333,14 @@
   auto planner = MakeCell(1);
   planner.Submit(MakeGang("a", "a", 1, 8), At(0));
   planner.Submit(MakeGang("b", "b", 1, 8), At(0));
-  std::string running = Started(planner.Decide(At(0))).front();
+  std::string running = StartedJobs(planner.Decide(At(0))).front();
   std::vector<int> turns;
   int since = 0;
   for (int now = 10; now < 40'000; now += 10) {
-    for (const auto& it : Evicted(planner.Decide(At(now)))) {
+    for (const auto& it : EvictedJobs(planner.Decide(At(now)))) {
       CHECK(it == running);
       planner.ReportEnded(JobName(it), At(now));
-      const auto next = Started(planner.Decide(At(now)));
+      const auto next = StartedJobs(planner.Decide(At(now)));
       REQUIRE(next.size() == 1);
       running = next.front();
       turns.push_back(now - since);
@@ -370,11 +371,11 @@
   REQUIRE(planner.free_accelerators() == 12);
   planner.Submit(MakeGang("large", "b", 1, 8), At(100));
   CHECK(planner.Decide(At(100)).empty());
-  const auto evicted = Evicted(planner.Decide(At(1000)));
+  const auto evicted = EvictedJobs(planner.Decide(At(1000)));
   REQUIRE(evicted.size() == 1);
   planner.ReportEnded(JobName(evicted[0]), At(1005));
   planner.Submit(MakeGang(evicted[0], "a", 1, 4), At(1005));
-  CHECK(Started(planner.Decide(At(1005))).size() == 2);
+  CHECK(StartedJobs(planner.Decide(At(1005))).size() == 2);
 }
 
 TEST_CASE("a worker that fills up is relieved of the gang that grew") {
@@ -389,7 +390,7 @@
   }
   CHECK(planner.Decide(At(30)).empty());
   planner.ReportUsage(MakeWorker(0).name, 8, 255'000);
-  CHECK(Evicted(planner.Decide(At(60))) == Jobs{"greedy"});
+  CHECK(EvictedJobs(planner.Decide(At(60))) == Jobs{"greedy"});
   planner.ReportEnded(JobName("greedy"), At(65));
   auto again = MakeGang("greedy", "a", 1, 1);
   again.needs.memory_mb = 20'000;
