--- a/src/placement/cell_snapshot.h
+++ b/src/placement/cell_snapshot.h
@@ -48,8 +48,8 @@
   std::vector<BlockPart> parts = {};
 };
 
-/// A cell as plain snapshot. `blocks` is a claim that CheckCellInvariant proves
-/// or refutes from the rest.
+/// State of a cell as plain data. CheckCellInvariant verifies `blocks` against
+/// the other fields.
 struct CellSnapshot {
   std::vector<WorkerSnapshot> workers;
   std::vector<Guarantee> guarantees;
--- a/src/placement/guarantee_book.cc
+++ b/src/placement/guarantee_book.cc
@@ -41,7 +41,7 @@
   for (const auto& it : guarantees) wanted.push_back(std::max(0, it.count));
   std::vector<BlockIndex> order(blocks_.size());
   std::iota(order.begin(), order.end(), 0);
-  // Those in use are kept first, then those that have a place.
+  // Keeps blocks in use first, then placed ones.
   std::stable_sort(order.begin(), order.end(), [&](auto a, auto b) {
     return std::tuple(!blocks_[a].in_use(), !blocks_[a].placed()) <
            std::tuple(!blocks_[b].in_use(), !blocks_[b].placed());
@@ -87,8 +87,8 @@
   }
   unplaced_ = false;
   if (todo.empty() || PlaceAll(todo)) return;
-  // Anew, all that can move; those that found room before keep theirs if that
-  // is no better.
+  // Repacks all unused blocks; restores the previous places if no more blocks
+  // fit that way.
   const auto all = Unused();
   std::vector<std::vector<Piece>> before;
   int placed_before = 0;
--- a/src/placement/guarantee_packing.cc
+++ b/src/placement/guarantee_packing.cc
@@ -1,4 +1,4 @@
-// Where guaranteed blocks go: the packing half of GuaranteeBook.
+// Packing of guaranteed blocks, part of GuaranteeBook.
 
 #include <algorithm>
 #include <tuple>
--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -158,7 +158,7 @@
   /// Returns a description of the violation, or an empty string.
   std::string CheckInvariant() const;
 
-  /// The cell as plain snapshot, for CheckCellInvariant and for reports.
+  /// State of the cell as plain data, for CheckCellInvariant and for reports.
   CellSnapshot Snapshot() const;
 
  private:
--- a/src/placement/planner_compact.cc
+++ b/src/placement/planner_compact.cc
@@ -1,5 +1,5 @@
-// Compaction: gangs for which enough is free, but scattered, get a place by
-// moving others together.
+// Compaction: gangs for which enough capacity is free but scattered get a place
+// by moving other gangs.
 
 #include <algorithm>
 #include <utility>
@@ -17,14 +17,14 @@
 /// The search for moves is expensive, and running it seldom costs nothing.
 constexpr base::Duration kCompactionInterval{10'000};
 
-/// Gangs looked at each time.
+/// Maximum number of waiting gangs examined in each run.
 constexpr std::size_t kMaxGangsExamined = 16;
 
 /// Workers looked at each time: in larger cells fewer gangs, and for those only
 /// some of the racks, the next ones the next time.
 constexpr int kMaxWorkersExamined = 2'600;
 
-/// Gangs moved for one.
+/// Maximum number of gangs moved for one waiting gang.
 constexpr std::size_t kMaxGangsMoved = 64;
 
 }  // namespace
--- a/src/placement/planner_evict.cc
+++ b/src/placement/planner_evict.cc
@@ -167,13 +167,14 @@
   for (auto& entry : overfilled_) {
     const auto index = entry.first;
     auto& overfill = entry.second;
-    // One step for each report: the next one tells whether it was enough.
+    // Evicts one gang for each report; the next report shows whether that was
+    // enough.
     if (!std::exchange(overfill.reported, false)) continue;
     const bool memory = overfill.memory_mb > 0;
     if (!memory && overfill.core_reports < kCoreReports) continue;
     if (cell_.at(index).evicting > 0) continue;
-    // The one that uses most beyond what it declared; when none does, the one
-    // that loses least.
+    // Picks the gang that exceeds its declared memory most; when none does, the
+    // one that loses least work.
     GangState* victim = nullptr;
     const auto rank = [&](const GangState& gang) {
       const double excess = MemoryOn(gang, index) - DeclaredOn(gang, index);
--- a/src/placement/planner_own.cc
+++ b/src/placement/planner_own.cc
@@ -60,7 +60,7 @@
   }
   if (!free()) {
     if (!may_evict) return false;
-    // Several blocks together, for gangs beyond any one of them.
+    // Combines several blocks for a gang that is too large for each of them.
     if (!best.eviction_plan.possible) best = FindOwnPlace(gang, blocks, now);
     if (!best.eviction_plan.possible) return false;
   }
@@ -81,7 +81,7 @@
 }
 
 bool Planner::Impl::TryDemote(GangState& gang, base::TimePoint now) {
-  // Nothing is below quiet work.
+  // No class is below quiet work.
   if (gang.gang.work_class == base::WorkClass::kQuiet) return false;
   BlockIndex best = kNone;
   double best_cost = 0;
--- a/src/placement/planner_places.cc
+++ b/src/placement/planner_places.cc
@@ -1,5 +1,5 @@
-// What holds which place, in the planner: charges, blocks, adoption and what
-// follows from lost workers.
+// Placement bookkeeping of the planner: charges, blocks, adoption and the
+// handling of lost workers.
 
 #include <algorithm>
 #include <map>
@@ -172,7 +172,7 @@
 
 void Planner::Impl::RepairBook() {
   Changed();
-  // An arrival whose worker was lost on the way waits again.
+  // A gang whose claimed worker was lost goes back to the queue.
   const auto awaiting_capacity = awaiting_capacity_;
   for (auto* it : awaiting_capacity) {
     const bool lost = std::any_of(
@@ -261,7 +261,8 @@
   for (auto* it : GangsLosingGuarantee(book)) book.Release(it->uses);
   book.Repair();
   auto shortfalls = book.Shortfalls();
-  // What was short before through lost hardware is no reason against a change.
+  // Shortfalls that existed before, through lost hardware, do not block a
+  // change.
   for (const auto& known : Shortfalls()) {
     std::erase_if(shortfalls, [&](const Shortfall& it) {
       return it.organisation == known.organisation && it.shape == known.shape &&
--- a/test/placement/cell_builder.h
+++ b/test/placement/cell_builder.h
@@ -8,8 +8,8 @@
 
 namespace lapishatch::placement {
 
-/// What the checks return when nothing is wrong; shows what is, when it
-/// differs.
+/// The result of a check that finds no problem; comparing with it prints the
+/// problem.
 inline const std::string kNoProblem;
 
 /// Memory that goes with one accelerator.
--- a/test/placement/history.h
+++ b/test/placement/history.h
@@ -35,7 +35,7 @@
   friend std::ostream& operator<<(std::ostream& out, const Step& it);
 };
 
-/// Plays steps against a planner as a scheduler would, and checks the planner
+/// Applies steps to a planner as a scheduler would, and checks the invariant
 /// after each.
 class History {
  public:
