--- a/src/placement/internal/gang_queue.h
+++ b/src/placement/internal/gang_queue.h
@@ -30,7 +30,7 @@
 
 GangKind KindOf(const Gang& gang);
 
-/// A waiting gang, ordered by age.
+/// A waiting gang; ordered by submission time.
 struct Waiting {
   base::TimePoint submitted;
   base::JobName job;
@@ -38,7 +38,8 @@
   friend auto operator<=>(const Waiting&, const Waiting&) = default;
 };
 
-/// Counts the events after which a gang that could not start may be able to.
+/// Counter that is incremented by each event after which a gang that could not
+/// start may be able to.
 using Generation = std::uint64_t;
 
 /// The gangs that wait, by kind and age.
@@ -79,7 +80,7 @@
     Generation failed = 0;
   };
 
-  /// What the turn of a kind depends on: lower goes first.
+  /// Sort key of a kind; the lowest is visited first.
   struct Turn {
     int work_class = 0;
     double share = 0;
@@ -106,7 +107,7 @@
   base::Duration ageing_;
   std::size_t size_ = 0;
   std::map<GangKind, Line> lines_;
-  /// Kinds stay while they are visited, also when their last gang has gone.
+  /// While set, kinds are kept even when their last gang is removed.
   bool visiting_ = false;
 };
 
--- a/src/placement/internal/guarantee_book.h
+++ b/src/placement/internal/guarantee_book.h
@@ -33,7 +33,7 @@
   std::vector<Piece> pieces = {};
   /// Gangs that run in it.
   int gangs = 0;
-  /// No longer guaranteed: goes when its last gang does.
+  /// No longer guaranteed: removed when its last gang ends.
   bool retiring = false;
   /// Retiring, and no longer of its shape: never guaranteed again.
   bool superseded = false;
@@ -69,7 +69,8 @@
   /// guarantees have room for them, the others become retiring ones.
   void Set(const std::vector<Guarantee>& guarantees);
 
-  /// Workers came, went or changed health: blocks may have lost their places.
+  /// Reports that workers were added, removed or changed health, so that blocks
+  /// may have lost their places.
   void WorkersChanged() { workers_changed_ = true; }
 
   /// Places the unused blocks that have no place, or whose place was lost,
@@ -80,10 +81,10 @@
   /// even after moving that part within the block's adjacency.
   std::vector<BlockIndex> BrokenBlocks();
 
-  /// Takes room for a gang; the room must be there.
+  /// Allocates room for a gang; the room must be available.
   void Use(const std::vector<BlockUse>& uses);
 
-  /// Gives back what Use took.
+  /// Frees the room that Use allocated.
   void Release(const std::vector<BlockUse>& uses);
 
   /// Moves an unused block so that it covers `place`, and others that are in
@@ -142,7 +143,8 @@
   /// Unused blocks that must leave so that `pieces` fit.
   std::vector<BlockIndex> InTheWay(const std::vector<Piece>& pieces) const;
   std::vector<BlockIndex> Unused() const;
-  /// Places as many as it can, the hardest first. Returns whether all.
+  /// Places as many blocks as possible, the hardest first. Returns whether all
+  /// were placed.
   bool PlaceAll(std::vector<BlockIndex> todo);
   bool MoveFreeParts(BlockIndex block);
   BlockIndex NewBlock(Block block);
--- a/src/placement/internal/place_finder.h
+++ b/src/placement/internal/place_finder.h
@@ -21,7 +21,8 @@
 /// place.
 using Place = std::vector<Slot>;
 
-/// What a place may use of one worker, and what that costs: lower goes first.
+/// Accelerators that a place may use on one worker, and their cost; lower is
+/// preferred.
 struct Room {
   int accelerators = 0;
   double cost = 0;
@@ -46,8 +47,9 @@
   struct Score {
     /// Cost of the rooms, and one for each free accelerator made useless.
     double cost = 0;
-    /// How open the rack is: the fullest goes first, so that some racks stay
-    /// empty for gangs that need a whole one.
+    /// Available and unpinned accelerators of the rack. The fullest rack is
+    /// preferred, so that some racks stay empty for gangs that need a whole
+    /// one.
     int rack_open = 0;
     int leftover = 0;
 
--- a/src/placement/place_finder.cc
+++ b/src/placement/place_finder.cc
@@ -61,7 +61,8 @@
 Place PlaceFinder::Spread(int tasks, const std::vector<int>& charges,
                           const Rooms& rooms,
                           std::vector<WorkerIndex> among) const {
-  // The cheapest, then the smallest: whole workers are broken last.
+  // Uses the cheapest workers first, then the smallest, so that whole workers
+  // are split last.
   std::stable_sort(among.begin(), among.end(), [&](auto a, auto b) {
     return std::tuple(rooms[a].cost, rooms[a].accelerators) <
            std::tuple(rooms[b].cost, rooms[b].accelerators);
--- a/src/placement/planner.cc
+++ b/src/placement/planner.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// A worker is relieved when it uses more than this share of its memory:
-/// reports lag, and what is full by the report is over by now.
+/// A gang is evicted when its worker uses more than this share of its memory:
+/// reports lag, so a worker that is reported full may already exceed it.
 constexpr double kMemoryLimit = 0.95;
 
 /// Jobs of which the history is remembered, at most.
--- a/src/placement/planner_decide.cc
+++ b/src/placement/planner_decide.cc
@@ -37,7 +37,7 @@
   ServeStarving(now);
   PlaceQueued(now);
   Compact(now);
-  // Gangs that gave up their guarantee may have made room for others'.
+  // Gangs that gave up their guarantee may have freed room for other blocks.
   book_.Repair();
   return std::move(decisions_);
 }
@@ -184,7 +184,8 @@
 }
 
 bool Planner::Impl::FailedBefore(const GangState& gang) {
-  // Starts only take room: what did not fit fits again after a change.
+  // Starting gangs only reduces free capacity, so a failure stays valid until
+  // the generation changes.
   if (borrow_generation_ != generation_) {
     borrow_generation_ = generation_;
     borrow_failures_.clear();
--- a/src/placement/planner_starving.cc
+++ b/src/placement/planner_starving.cc
@@ -99,7 +99,8 @@
 }
 
 bool Planner::Impl::Reserve(GangState& gang, base::TimePoint now) {
-  // Every rack has its turn; only what goes across racks needs all at once.
+  // Racks are examined in rotation; only a gang that may span racks needs all
+  // at once.
   std::vector<internal::RackIndex> racks;
   if (gang.gang.adjacency == Adjacency::kDomain) {
     racks.resize(cell_.racks());
@@ -153,8 +154,8 @@
   if (gang.phase == internal::GangPhase::kAwaitingCapacity || gang.backfill) {
     return true;
   }
-  // Twice as long after every eviction, so that each gang runs to its end at
-  // last, however long that takes.
+  // The minimum run time doubles with every eviction, so that each gang
+  // eventually runs to its end.
   const int doublings = std::min(gang.evictions, 16);
   const auto turn = kMinimumRunTime * (1 << doublings);
   return now - gang.started >= turn;
--- a/test/placement/cell_builder.h
+++ b/test/placement/cell_builder.h
@@ -12,7 +12,7 @@
 /// problem.
 inline const std::string kNoProblem;
 
-/// Memory that goes with one accelerator.
+/// Memory share of one accelerator.
 inline constexpr std::int64_t kShareMb = 32'768;
 
 /// Worker `number` of a cell with `per_rack` workers a rack.
