--- a/src/placement/internal/guarantee_book.h
+++ b/src/placement/internal/guarantee_book.h
@@ -23,9 +23,9 @@
   friend bool operator==(const Piece&, const Piece&) = default;
 };
 
-/// One guaranteed shape and where it would be, or is, honoured. The blocks
-/// together are the proof of the invariant: they are disjoint, and nothing but
-/// borrowed work and the owner's own gangs runs in them.
+/// The capacity assigned to one guaranteed shape. The set of blocks proves the
+/// invariant: blocks are disjoint, and only borrowed work and gangs of the
+/// block's organisation run in them.
 struct Block {
   base::OrganisationName organisation;
   Shape shape;
@@ -33,12 +33,12 @@
   std::vector<Piece> pieces = {};
   /// Gangs that run in it.
   int gangs = 0;
-  /// No longer guaranteed: goes when its last gang does.
+  /// No longer guaranteed: removed when its last gang ends.
   bool retiring = false;
   /// Retiring, and no longer of its shape: never guaranteed again.
-  bool loose = false;
-  /// This index is free.
-  bool dead = false;
+  bool superseded = false;
+  /// The entry is unused and can be reused.
+  bool vacant = false;
 
   bool placed() const { return !pieces.empty(); }
   bool in_use() const { return gangs > 0; }
@@ -55,9 +55,9 @@
 /// of the cell's largest type.
 bool ShapeHolds(const Cell& cell, const Shape& shape, const Gang& gang);
 
-/// All guaranteed blocks of a cell. Whatever is asked of it, blocks in use stay
-/// where they are; unused ones are moved freely, since only borrowed work can
-/// be in them. Copies refer to the same cell until Rebind.
+/// All guaranteed blocks of a cell. Blocks in use keep the pieces that gangs
+/// use; unused blocks can be moved freely, since only borrowed work runs in
+/// them. Copies refer to the same cell until Rebind.
 class GuaranteeBook {
  public:
   explicit GuaranteeBook(Cell& cell) : cell_(&cell) {}
@@ -69,7 +69,8 @@
   /// guarantees have room for them, the others become retiring ones.
   void Set(const std::vector<Guarantee>& guarantees);
 
-  /// Workers came, went or changed health: blocks may have lost their places.
+  /// Reports that workers were added, removed or changed health, so that blocks
+  /// may have lost their places.
   void WorkersChanged() { workers_changed_ = true; }
 
   /// Places the unused blocks that have no place, or whose place was lost,
@@ -78,12 +79,12 @@
 
   /// Blocks in use of which a free part is on a worker that takes no new work,
   /// even after moving that part within the block's adjacency.
-  std::vector<BlockIndex> Broken();
+  std::vector<BlockIndex> BrokenBlocks();
 
-  /// Takes room for a gang; the room must be there.
+  /// Allocates room for a gang; the room must be available.
   void Use(const std::vector<BlockUse>& uses);
 
-  /// Gives back what Use took.
+  /// Frees the room that Use allocated.
   void Release(const std::vector<BlockUse>& uses);
 
   /// Moves an unused block so that it covers `place`, and others that are in
@@ -97,12 +98,12 @@
   bool ExtendOnto(BlockIndex block, const Place& place);
 
   /// Adds a block in use beyond all guarantees, for work that runs there and
-  /// can't be evicted. Unused blocks give way until Repair.
+  /// can't be evicted. Unused blocks in the way lose their place until Repair.
   BlockIndex AddRetiring(const base::OrganisationName& organisation,
                          const Place& place);
 
-  /// Lets a block in use go down to what its gangs use, and owes its
-  /// organisation a new one of the same shape, without a place until Repair.
+  /// Shrinks a block in use to what its gangs use, and adds a new block of the
+  /// same shape for its organisation, which has no place until Repair.
   void Reissue(BlockIndex block);
 
   /// Blocks in use that guarantee more of a worker than it has once `place` is
@@ -142,7 +143,8 @@
   /// Unused blocks that must leave so that `pieces` fit.
   std::vector<BlockIndex> InTheWay(const std::vector<Piece>& pieces) const;
   std::vector<BlockIndex> Unused() const;
-  /// Places as many as it can, the hardest first. Returns whether all.
+  /// Places as many blocks as possible, the hardest first. Returns whether all
+  /// were placed.
   bool PlaceAll(std::vector<BlockIndex> todo);
   bool MoveFreeParts(BlockIndex block);
   BlockIndex NewBlock(Block block);
--- a/src/placement/internal/place_finder.h
+++ b/src/placement/internal/place_finder.h
@@ -21,7 +21,8 @@
 /// place.
 using Place = std::vector<Slot>;
 
-/// What a place may use of one worker, and what that costs: lower goes first.
+/// Accelerators that a place may use on one worker, and their cost; lower is
+/// preferred.
 struct Room {
   int accelerators = 0;
   double cost = 0;
@@ -34,20 +35,21 @@
 /// guaranteed shape.
 class PlaceFinder {
  public:
-  /// `grain` is the shape that free capacity should stay able to serve.
-  PlaceFinder(const Cell& cell, const Shape& grain);
+  /// `target_shape` is the shape that free capacity should stay able to serve.
+  PlaceFinder(const Cell& cell, const Shape& target_shape);
 
-  /// The place of least cost for `gang` within `rooms`; among equals the one
-  /// after which fewest free accelerators are useless to the grain, then the
-  /// best fit. `adjacency` may be closer than the gang's own.
+  /// The place of least cost for `gang` within `rooms`; ties go to the place
+  /// that leaves the fewest free accelerators unusable for the target shape,
+  /// then to the best fit. `adjacency` may be closer than the gang's own.
   Place Find(const Gang& gang, Adjacency adjacency, const Rooms& rooms) const;
 
  private:
   struct Score {
     /// Cost of the rooms, and one for each free accelerator made useless.
     double cost = 0;
-    /// How open the rack is: the fullest goes first, so that some racks stay
-    /// empty for gangs that need a whole one.
+    /// Available and unpinned accelerators of the rack. The fullest rack is
+    /// preferred, so that some racks stay empty for gangs that need a whole
+    /// one.
     int rack_open = 0;
     int leftover = 0;
 
@@ -65,18 +67,18 @@
                     const Rooms& rooms) const;
   Place Spread(int tasks, const std::vector<int>& charges, const Rooms& rooms,
                std::vector<WorkerIndex> among) const;
-  /// Free accelerators that are of no use to the grain once `slots`, all in one
+  /// Free accelerators that the target shape can't use once `slots`, all in one
   /// rack, are taken, less those before.
   int Stranded(const Slot* begin, const Slot* end) const;
-  /// Of so many whole free workers in one rack, accelerators useless to the
-  /// grain.
+  /// Accelerators, of the given number of wholly free workers in one rack, that
+  /// the target shape can't use.
   int StrandedIn(int whole_workers) const;
 
   const Cell* cell_;
   int worker_size_;
-  /// The grain in whole workers, 0 when it is less than one worker.
-  int grain_workers_;
-  int grain_part_;
+  /// The target shape in whole workers, 0 when it is less than one worker.
+  int target_workers_;
+  int target_accelerators_;
   /// Whole free workers by rack.
   std::vector<int> whole_;
   /// Accelerators by rack that are free, and that could be freed.
--- a/test/placement/cell_builder.h
+++ b/test/placement/cell_builder.h
@@ -8,11 +8,11 @@
 
 namespace lapishatch::placement {
 
-/// What the checks return when nothing is wrong; shows what is, when it
-/// differs.
+/// The result of a check that finds no problem; comparing with it prints the
+/// problem.
 inline const std::string kNoProblem;
 
-/// Memory that goes with one accelerator.
+/// Memory share of one accelerator.
 inline constexpr std::int64_t kShareMb = 32'768;
 
 /// Worker `number` of a cell with `per_rack` workers a rack.
@@ -55,7 +55,7 @@
 }
 
 /// The jobs that `decisions` start, in order.
-inline std::vector<std::string> Started(
+inline std::vector<std::string> StartedJobs(
     const std::vector<Decision>& decisions) {
   std::vector<std::string> jobs;
   for (const auto& it : decisions) {
@@ -66,7 +66,7 @@
 }
 
 /// The jobs that `decisions` evict, in order.
-inline std::vector<std::string> Evicted(
+inline std::vector<std::string> EvictedJobs(
     const std::vector<Decision>& decisions) {
   std::vector<std::string> jobs;
   for (const auto& it : decisions) {
