--- a/bench/failover.cc
+++ b/bench/failover.cc
@@ -35,7 +35,7 @@
   /// VMs of the domain, each with an entry and a scheduler.
   int vms = 7;
   base::Duration recovery_window = OwnerOptions().recovery_window;
-  base::Duration lease = lifecycle::LeaseTimes().length;
+  base::Duration lease = lifecycle::LeaseTiming().duration;
   /// One worker is not reached by the new owner.
   bool worker_silent = false;
 };
@@ -65,11 +65,11 @@
     options.incarnation = identity.incarnation;
     options.endpoint = {identity.endpoint.address, identity.endpoint.port};
     options.recovery_window = plan.recovery_window;
-    options.lease.length = plan.lease;
-    options.lease.renew_every =
-        std::min(options.lease.renew_every, plan.lease * 3 / 10);
-    options.lease.read_every =
-        std::min(options.lease.read_every, plan.lease / 5);
+    options.lease.duration = plan.lease;
+    options.lease.renew_interval =
+        std::min(options.lease.renew_interval, plan.lease * 3 / 10);
+    options.lease.read_interval =
+        std::min(options.lease.read_interval, plan.lease / 5);
     GroupWord group;
     if (plan.hints) {
       group = [this](const auto& holder, const auto& at) {
@@ -352,11 +352,11 @@
       {"kill", Fault::kKill},
       {"kill_today", Fault::kKill, true, 3},
       {"kill_worker_silent_by_lease", Fault::kKill, false, 7, window,
-       lifecycle::LeaseTimes().length, true},
+       lifecycle::LeaseTiming().duration, true},
       {"kill_worker_silent_window_3s", Fault::kKill, true, 7, window,
-       lifecycle::LeaseTimes().length, true},
+       lifecycle::LeaseTiming().duration, true},
       {"kill_worker_silent", Fault::kKill, true, 7,
-       OwnerOptions().recovery_window, lifecycle::LeaseTimes().length, true},
+       OwnerOptions().recovery_window, lifecycle::LeaseTiming().duration, true},
       {"vanish_by_lease", Fault::kVanish, false, 7, window},
       {"vanish", Fault::kVanish},
       {"vanish_today", Fault::kVanish, true, 3},
--- a/bench/fake_cluster.h
+++ b/bench/fake_cluster.h
@@ -71,7 +71,7 @@
       return answer(backends::RunnerRefused{"leaving", LoadOf(runner)});
     }
     if (it.trouble == RunnerTrouble::kFailsFast) {
-      return answer(backends::RunnerAnswer{500, "", "", LoadOf(runner)});
+      return answer(backends::RunnerResponse{500, "", "", LoadOf(runner)});
     }
     if (it.busy + static_cast<int>(it.waiting.size()) >= kConnections) {
       return answer(backends::RunnerNotReached{"no connection"});
@@ -124,7 +124,7 @@
                   Account();
                   --At(runner).busy;
                   --busy_;
-                  answer(backends::RunnerAnswer{200, "", "", LoadOf(runner)});
+                  answer(backends::RunnerResponse{200, "", "", LoadOf(runner)});
                   Next(runner);
                 });
   }
@@ -155,7 +155,8 @@
     auto once = std::make_shared<std::function<void(backends::RunnerOutcome)>>(
         std::move(done));
     process_.After(request.deadline, [once] {
-      if (*once) std::exchange(*once, {})(backends::RunnerLost{true, "late"});
+      if (*once)
+        std::exchange(*once, {})(backends::RunnerResponseLost{true, "late"});
     });
     time_.After(Way(runner), [this, runner, once] {
       cluster_.Accept(runner, [this, once](backends::RunnerOutcome outcome) {
--- a/bench/owner.cc
+++ b/bench/owner.cc
@@ -105,20 +105,21 @@
     Count(kRequestHeaders + backends::kOrdersPath.size() + body.size());
     inner_.Send(worker, std::move(order),
                 [this, done = std::move(done)](lifecycle::OrderOutcome it) {
-                  const auto answer = backends::EncodeOrderAnswer(it);
+                  const auto answer = backends::EncodeOrderResponse(it);
                   Count(kResponseHeaders + answer.body.size());
                   done(std::move(it));
                 });
   }
 
-  void Report(const http::Endpoint& worker, backends::ReportQuery query,
-              std::function<void(backends::ReportResult)> done) override {
+  void FetchReport(const http::Endpoint& worker, backends::ReportQuery query,
+                   std::function<void(backends::ReportResult)> done) override {
     Count(kRequestHeaders + backends::EncodeReportQuery(query).size());
-    inner_.Report(worker, query,
-                  [this, done = std::move(done)](backends::ReportResult it) {
-                    CountReport(it);
-                    done(std::move(it));
-                  });
+    inner_.FetchReport(
+        worker, query,
+        [this, done = std::move(done)](backends::ReportResult it) {
+          CountReport(it);
+          done(std::move(it));
+        });
   }
 
  private:
--- a/bench/request_path.cc
+++ b/bench/request_path.cc
@@ -38,7 +38,7 @@
             std::function<void(backends::RunnerOutcome)> done) override {
     if (!answers_) return;
     asio::post(io_, [done = std::move(done)] {
-      done(backends::RunnerAnswer{200, "text/plain", "ok", {8, 1, 0, false}});
+      done(backends::RunnerResponse{200, "text/plain", "ok", {8, 1, 0, false}});
     });
   }
 
--- a/bench/routing.cc
+++ b/bench/routing.cc
@@ -303,7 +303,7 @@
     time_.After(way, [this, owner, runner, outcome, took] {
       Learn(owner, runner, outcome, took);
     });
-    const auto* answer = std::get_if<backends::RunnerAnswer>(&outcome);
+    const auto* answer = std::get_if<backends::RunnerResponse>(&outcome);
     if (answer != nullptr && answer->status == 200) {
       const auto ms = static_cast<double>(took.count());
       entry.mean_ms += (entry.mean_ms == 0 ? 1 : 0.02) * (ms - entry.mean_ms);
@@ -325,7 +325,7 @@
     auto& it = At(owner);
     if (it.process.killed()) return;
     const auto now = time_.Now();
-    if (const auto* answer = std::get_if<backends::RunnerAnswer>(&outcome)) {
+    if (const auto* answer = std::get_if<backends::RunnerResponse>(&outcome)) {
       it.pool.OnAnswer(runner, answer->load, answer->status >= 500, took, now);
     } else if (const auto* refused =
                    std::get_if<backends::RunnerRefused>(&outcome)) {
--- a/src/backends/http_runner_client.cc
+++ b/src/backends/http_runner_client.cc
@@ -14,12 +14,12 @@
   if (error.progress == http::Progress::kNothingSent) {
     return RunnerNotReached{error.detail};
   }
-  return RunnerLost{error.timed_out, error.detail};
+  return RunnerResponseLost{error.timed_out, error.detail};
 }
 
 PingResult PingOf(const http::ClientResult& result) {
   if (const auto* response = std::get_if<http::Response>(&result)) {
-    return DecodePingAnswer(*response);
+    return DecodePingResponse(*response);
   }
   return RunnerNotReached{std::get<http::ClientError>(result).detail};
 }
--- a/src/backends/http_worker_client.cc
+++ b/src/backends/http_worker_client.cc
@@ -13,13 +13,13 @@
 lifecycle::OrderOutcome OutcomeOf(const http::ClientResult& result,
                                   std::size_t commands) {
   if (const auto* response = std::get_if<http::Response>(&result)) {
-    return DecodeOrderAnswer(*response, commands);
+    return DecodeOrderResponse(*response, commands);
   }
   const auto& error = std::get<http::ClientError>(result);
   if (error.progress == http::Progress::kNothingSent) {
     return lifecycle::OrderNotSent{error.detail};
   }
-  return lifecycle::OrderUnknown{error.detail};
+  return lifecycle::OrderOutcomeUnknown{error.detail};
 }
 
 ReportResult ReportOf(const http::ClientResult& result) {
@@ -61,8 +61,8 @@
         });
   }
 
-  void Report(const http::Endpoint& worker, ReportQuery query,
-              std::function<void(ReportResult)> done) override {
+  void FetchReport(const http::Endpoint& worker, ReportQuery query,
+                   std::function<void(ReportResult)> done) override {
     http::Request request;
     request.target = EncodeReportQuery(query);
     client_.Send(worker, std::move(request),
--- a/src/backends/runner_client.h
+++ b/src/backends/runner_client.h
@@ -32,7 +32,7 @@
 };
 
 /// The runner ran the work; this is its whole answer, byte for byte.
-struct RunnerAnswer {
+struct RunnerResponse {
   int status = 200;
   std::string content_type;
   std::string body;
@@ -53,13 +53,13 @@
 
 /// The request may have run: the answer is lost, late, cut short or belongs to
 /// another request.
-struct RunnerLost {
+struct RunnerResponseLost {
   bool timed_out = false;
   std::string detail;
 };
 
-using RunnerOutcome =
-    std::variant<RunnerAnswer, RunnerRefused, RunnerNotReached, RunnerLost>;
+using RunnerOutcome = std::variant<RunnerResponse, RunnerRefused,
+                                   RunnerNotReached, RunnerResponseLost>;
 
 using PingResult = std::variant<RunnerLoad, RunnerNotReached>;
 
--- a/src/backends/runner_codec.cc
+++ b/src/backends/runner_codec.cc
@@ -104,8 +104,8 @@
   return out;
 }
 
-http::Response EncodeRunnerAnswer(const base::RequestId& id,
-                                  RunnerAnswer answer) {
+http::Response EncodeRunnerResponse(const base::RequestId& id,
+                                    RunnerResponse answer) {
   http::Response out;
   out.status = answer.status;
   out.headers.Set(kRequestId, id.str());
@@ -135,24 +135,24 @@
                              ? "answer carries no request id, status " +
                                    std::to_string(response.status)
                              : "answer belongs to another request";
-    return RunnerLost{false, std::move(detail)};
+    return RunnerResponseLost{false, std::move(detail)};
   }
   const auto load = ReadLoad(response.headers);
   if (response.headers.Find(kRan) == kFalse) {
     return RunnerRefused{std::move(response.body), load};
   }
-  return RunnerAnswer{response.status,
-                      std::string(response.headers.Find(kContentType)),
-                      std::move(response.body), load};
+  return RunnerResponse{response.status,
+                        std::string(response.headers.Find(kContentType)),
+                        std::move(response.body), load};
 }
 
-http::Response EncodePingAnswer(const RunnerLoad& load) {
+http::Response EncodePingResponse(const RunnerLoad& load) {
   http::Response out;
   SetLoad(load, out.headers);
   return out;
 }
 
-PingResult DecodePingAnswer(const http::Response& response) {
+PingResult DecodePingResponse(const http::Response& response) {
   if (response.status != kOk || !response.headers.Has(kSlots)) {
     return RunnerNotReached{"ping answered with status " +
                             std::to_string(response.status)};
--- a/src/backends/runner_codec.h
+++ b/src/backends/runner_codec.h
@@ -23,21 +23,22 @@
     const http::Request& request);
 
 /// A runner's response to the request with `id`: the work was run.
-http::Response EncodeRunnerAnswer(const base::RequestId& id,
-                                  RunnerAnswer answer);
+http::Response EncodeRunnerResponse(const base::RequestId& id,
+                                    RunnerResponse answer);
 
 /// A runner's response to the request with `id`: the work was not run.
 http::Response EncodeRunnerRefusal(const base::RequestId& id,
                                    const RunnerRefused& refusal);
 
 /// What a response to the request with `id` means. RunnerRefused only on the
-/// runner's own word; a response with another id, or none, is RunnerLost.
+/// runner's own word; a response with another id, or none, is
+/// RunnerResponseLost.
 RunnerOutcome DecodeRunnerResponse(const base::RequestId& id,
                                    http::Response response);
 
 /// A runner's response to a ping.
-http::Response EncodePingAnswer(const RunnerLoad& load);
-PingResult DecodePingAnswer(const http::Response& response);
+http::Response EncodePingResponse(const RunnerLoad& load);
+PingResult DecodePingResponse(const http::Response& response);
 
 }  // namespace lapishatch::backends
 
--- a/src/backends/runner_health.cc
+++ b/src/backends/runner_health.cc
@@ -8,29 +8,29 @@
       backoff_(options.retry_first, options.retry_limit),
       next_ping_(now) {}
 
-void RunnerHealth::Answered(base::TimePoint now) {
-  state_ = RunnerState::kWorking;
+void RunnerHealth::RecordResponse(base::TimePoint now) {
+  state_ = RunnerState::kHealthy;
   ping_under_way_ = false;
   failed_pings_ = 0;
   backoff_.Reset();
   next_ping_ = now + options_.ping_interval;
 }
 
-void RunnerHealth::Lost(base::TimePoint now) {
-  if (state_ != RunnerState::kWorking) return;
+void RunnerHealth::RecordFailure(base::TimePoint now) {
+  if (state_ != RunnerState::kHealthy) return;
   state_ = RunnerState::kSuspect;
   next_ping_ = now;
 }
 
-void RunnerHealth::PingSent() { ping_under_way_ = true; }
+void RunnerHealth::RecordPingSent() { ping_under_way_ = true; }
 
-void RunnerHealth::PingFailed(base::TimePoint now) {
+void RunnerHealth::RecordPingFailure(base::TimePoint now) {
   // An answer that came while the ping was under way has cleared the runner.
   if (!ping_under_way_) return;
   ping_under_way_ = false;
   ++failed_pings_;
   next_ping_ = now;
-  if (failed_pings_ < options_.failed_pings_to_condemn) {
+  if (failed_pings_ < options_.unreachable_after_failed_pings) {
     state_ = RunnerState::kSuspect;
     return;
   }
@@ -38,7 +38,7 @@
   next_ping_ = now + backoff_.Next(random_);
 }
 
-bool RunnerHealth::PingDue(base::TimePoint now) const {
+bool RunnerHealth::IsPingDue(base::TimePoint now) const {
   return !ping_under_way_ && next_ping_ <= now;
 }
 
--- a/src/backends/runner_health.h
+++ b/src/backends/runner_health.h
@@ -11,7 +11,7 @@
 
 /// What is thought of one runner.
 enum class RunnerState : std::uint8_t {
-  kWorking,
+  kHealthy,
   /// A connection to it went silent or a ping failed: other runners are better
   /// until the next ping tells.
   kSuspect,
@@ -26,7 +26,7 @@
   base::Duration ping_interval{1'000};
   base::Duration ping_timeout{300};
   /// Pings in a row that must fail before the runner counts as unreachable.
-  int failed_pings_to_condemn = 2;
+  int unreachable_after_failed_pings = 2;
   /// Pause after the first failed ping of a condemned runner; doubles with
   /// jitter up to the limit.
   base::Duration retry_first{200};
@@ -43,16 +43,16 @@
   RunnerHealth(RunnerHealthOptions options, base::TimePoint now);
 
   /// A whole answer, a refusal or a ping's answer came.
-  void Answered(base::TimePoint now);
+  void RecordResponse(base::TimePoint now);
 
   /// A request got no answer in time, or its connection broke.
-  void Lost(base::TimePoint now);
+  void RecordFailure(base::TimePoint now);
 
-  void PingSent();
-  void PingFailed(base::TimePoint now);
+  void RecordPingSent();
+  void RecordPingFailure(base::TimePoint now);
 
   /// When the next ping is due; nothing is due while one is under way.
-  bool PingDue(base::TimePoint now) const;
+  bool IsPingDue(base::TimePoint now) const;
   base::TimePoint next_ping() const { return next_ping_; }
 
   RunnerState state() const { return state_; }
@@ -61,7 +61,7 @@
   RunnerHealthOptions options_;
   base::Random random_;
   base::Backoff backoff_;
-  RunnerState state_ = RunnerState::kWorking;
+  RunnerState state_ = RunnerState::kHealthy;
   base::TimePoint next_ping_;
   bool ping_under_way_ = false;
   int failed_pings_ = 0;
--- a/src/backends/runner_monitor.cc
+++ b/src/backends/runner_monitor.cc
@@ -75,8 +75,8 @@
   void PingIfDue(const http::Endpoint& runner) {
     const auto it = runners_.find(runner);
     if (it == runners_.end()) return;
-    if (!it->second.health.PingDue(loop_.Now())) return;
-    it->second.health.PingSent();
+    if (!it->second.health.IsPingDue(loop_.Now())) return;
+    it->second.health.RecordPingSent();
     const auto id = it->second.id;
     client_.Ping(runner, options_.ping_timeout,
                  [weak = weak_from_this(), &loop = loop_, runner,
@@ -96,7 +96,8 @@
     const auto time = loop_.Now();
     if (load != nullptr && on_load_) on_load_(runner, *load);
     Apply(runner, [load, time](RunnerHealth& health) {
-      load != nullptr ? health.Answered(time) : health.PingFailed(time);
+      load != nullptr ? health.RecordResponse(time)
+                      : health.RecordPingFailure(time);
     });
   }
 
@@ -131,14 +132,16 @@
   impl_->Unwatch(runner);
 }
 
-void RunnerMonitor::Answered(const http::Endpoint& runner) {
-  impl_->Apply(runner,
-               [now = impl_->now()](RunnerHealth& it) { it.Answered(now); });
+void RunnerMonitor::RecordResponse(const http::Endpoint& runner) {
+  impl_->Apply(runner, [now = impl_->now()](RunnerHealth& it) {
+    it.RecordResponse(now);
+  });
 }
 
-void RunnerMonitor::Lost(const http::Endpoint& runner) {
-  impl_->Apply(runner,
-               [now = impl_->now()](RunnerHealth& it) { it.Lost(now); });
+void RunnerMonitor::RecordFailure(const http::Endpoint& runner) {
+  impl_->Apply(runner, [now = impl_->now()](RunnerHealth& it) {
+    it.RecordFailure(now);
+  });
 }
 
 std::optional<RunnerState> RunnerMonitor::state(
--- a/src/backends/runner_monitor.h
+++ b/src/backends/runner_monitor.h
@@ -38,8 +38,8 @@
   void Unwatch(const http::Endpoint& runner);
 
   /// What the requests found; runners not watched are passed over.
-  void Answered(const http::Endpoint& runner);
-  void Lost(const http::Endpoint& runner);
+  void RecordResponse(const http::Endpoint& runner);
+  void RecordFailure(const http::Endpoint& runner);
 
   /// Nothing for a runner that is not watched.
   std::optional<RunnerState> state(const http::Endpoint& runner) const;
--- a/src/backends/worker_client.h
+++ b/src/backends/worker_client.h
@@ -43,8 +43,8 @@
   virtual void Send(const http::Endpoint& worker, lifecycle::WorkerOrder order,
                     std::function<void(lifecycle::OrderOutcome)> done) = 0;
 
-  virtual void Report(const http::Endpoint& worker, ReportQuery query,
-                      std::function<void(ReportResult)> done) = 0;
+  virtual void FetchReport(const http::Endpoint& worker, ReportQuery query,
+                           std::function<void(ReportResult)> done) = 0;
 };
 
 struct HttpWorkerOptions {
--- a/src/backends/worker_codec.cc
+++ b/src/backends/worker_codec.cc
@@ -221,14 +221,14 @@
   http::Response operator()(const lifecycle::StaleEpoch& it) const {
     return JsonResponse(kConflict, {{"epoch_seen", it.epoch_seen}});
   }
-  http::Response operator()(const lifecycle::OtherIncarnation& it) const {
+  http::Response operator()(const lifecycle::IncarnationMismatch& it) const {
     return JsonResponse(kPreconditionFailed,
                         {{"incarnation", it.incarnation.str()}});
   }
   http::Response operator()(const lifecycle::OrderNotSent& it) const {
     return JsonResponse(kServerError, {{"detail", it.detail}});
   }
-  http::Response operator()(const lifecycle::OrderUnknown& it) const {
+  http::Response operator()(const lifecycle::OrderOutcomeUnknown& it) const {
     return JsonResponse(kServerError, {{"detail", it.detail}});
   }
 };
@@ -376,16 +376,16 @@
   return out;
 }
 
-http::Response EncodeOrderAnswer(const lifecycle::OrderOutcome& outcome) {
+http::Response EncodeOrderResponse(const lifecycle::OrderOutcome& outcome) {
   return std::visit(AnswerEncoder{}, outcome);
 }
 
-lifecycle::OrderOutcome DecodeOrderAnswer(const http::Response& response,
-                                          std::size_t commands) {
+lifecycle::OrderOutcome DecodeOrderResponse(const http::Response& response,
+                                            std::size_t commands) {
   const auto value = Parse(response.body);
   std::optional<CodecError> error;
   if (!value.has_value()) error = CodecError{"", "is not JSON"};
-  lifecycle::OrderOutcome out = lifecycle::OrderUnknown{
+  lifecycle::OrderOutcome out = lifecycle::OrderOutcomeUnknown{
       "worker answered " + std::to_string(response.status)};
   if (error.has_value()) return out;
   JsonReader reader(*value, "", error);
@@ -394,10 +394,10 @@
     out = lifecycle::StaleEpoch{reader.Number("epoch_seen", kMostUint64)};
   }
   if (response.status == kPreconditionFailed) {
-    out = lifecycle::OtherIncarnation{
+    out = lifecycle::IncarnationMismatch{
         base::Incarnation(reader.String("incarnation"))};
   }
-  if (error.has_value()) return lifecycle::OrderUnknown{TextOf(*error)};
+  if (error.has_value()) return lifecycle::OrderOutcomeUnknown{TextOf(*error)};
   return out;
 }
 
--- a/src/backends/worker_codec.h
+++ b/src/backends/worker_codec.h
@@ -30,13 +30,13 @@
     std::string_view body);
 
 /// The response to an order. `outcome` must be one that a worker can give:
-/// OrderDone, StaleEpoch or OtherIncarnation; the others become 500.
-http::Response EncodeOrderAnswer(const lifecycle::OrderOutcome& outcome);
+/// OrderDone, StaleEpoch or IncarnationMismatch; the others become 500.
+http::Response EncodeOrderResponse(const lifecycle::OrderOutcome& outcome);
 
 /// What a response to an order of `commands` commands means; whatever is not as
-/// the protocol says is OrderUnknown, since the worker may have acted.
-lifecycle::OrderOutcome DecodeOrderAnswer(const http::Response& response,
-                                          std::size_t commands);
+/// the protocol says is OrderOutcomeUnknown, since the worker may have acted.
+lifecycle::OrderOutcome DecodeOrderResponse(const http::Response& response,
+                                            std::size_t commands);
 
 /// The request target that asks for a report.
 std::string EncodeReportQuery(const ReportQuery& query);
--- a/src/entry/platform_view.cc
+++ b/src/entry/platform_view.cc
@@ -145,15 +145,16 @@
       const auto vm = std::move(to_ask_.front());
       to_ask_.pop_front();
       ++asked_;
-      ports_.workers.Report(vm.endpoint, backends::ReportQuery(),
-                            [weak = weak_from_this(), &loop = ports_.loop,
-                             vm](backends::ReportResult result) {
-                              loop.Post([weak, vm, result = std::move(result)] {
-                                const auto self = weak.lock();
-                                if (self == nullptr) return;
-                                self->TakeReport(vm, result);
-                              });
-                            });
+      ports_.workers.FetchReport(
+          vm.endpoint, backends::ReportQuery(),
+          [weak = weak_from_this(), &loop = ports_.loop,
+           vm](backends::ReportResult result) {
+            loop.Post([weak, vm, result = std::move(result)] {
+              const auto self = weak.lock();
+              if (self == nullptr) return;
+              self->TakeReport(vm, result);
+            });
+          });
     }
   }
 
--- a/src/lifecycle/cell_lease.cc
+++ b/src/lifecycle/cell_lease.cc
@@ -39,7 +39,7 @@
 struct LeaseBook {
   base::Incarnation self;
   std::string endpoint;
-  LeaseTimes times;
+  LeaseTiming times;
   base::TimePoint now;
   base::TimePoint last_handled;
   base::TimePoint next_step;
@@ -63,7 +63,7 @@
   /// The version whose holder said that it only misses the table.
   std::uint64_t spared_version = 0;
   Epoch highest_epoch_seen = 0;
-  HolderDoubt doubt = HolderDoubt::kNone;
+  HolderSuspicion suspicion = HolderSuspicion::kNone;
   /// The holder is asked before its lease has run out.
   bool asked_on_hint = false;
   /// The row has changed since the holder was asked: it lives.
@@ -74,9 +74,9 @@
   base::TimePoint ask_not_before;
   /// Changes of hands without a release.
   std::optional<base::TimePoint> changed_hands_at;
-  base::Duration hint_pause{0};
-  TakeReason take_reason = TakeReason::kFree;
-  base::Incarnation earlier_holder;
+  base::Duration early_acquire_pause{0};
+  AcquireReason acquire_reason = AcquireReason::kFree;
+  base::Incarnation previous_holder;
 
   // As holder.
   Epoch epoch = 0;
@@ -95,14 +95,14 @@
     out.push_back(ReadRow{});
   }
 
-  void WriteOwnRow(const base::Incarnation& holder, Epoch of, bool take) {
+  void WriteOwnRow(const base::Incarnation& holder, Epoch of, bool acquire) {
     written.holder = holder;
     written.endpoint = endpoint;
     written.epoch = of;
     written.attempt = base::AttemptId(base::MakeUniqueText("lease-"));
     writing = true;
     write_sent = now;
-    out.push_back(WriteRow{written, row_version, take});
+    out.push_back(WriteRow{written, row_version, acquire});
   }
 
   bool IsOurs(const HolderRow& it) const {
@@ -110,21 +110,23 @@
   }
 
   void NoteChangeOfHands() {
-    const bool again = changed_hands_at &&
-                       now - *changed_hands_at < times.hint_pause_limit * 2;
-    hint_pause = again ? std::min(hint_pause * 2, times.hint_pause_limit)
-                       : times.hint_pause;
+    const bool again =
+        changed_hands_at &&
+        now - *changed_hands_at < times.early_acquire_pause_limit * 2;
+    early_acquire_pause = again ? std::min(early_acquire_pause * 2,
+                                           times.early_acquire_pause_limit)
+                                : times.early_acquire_pause;
     changed_hands_at = now;
   }
 
   bool MayTakeOnHint() const {
-    return !changed_hands_at || now - *changed_hands_at >= hint_pause;
+    return !changed_hands_at || now - *changed_hands_at >= early_acquire_pause;
   }
 
   base::Duration ReadPause() const {
-    const bool hurry = doubt != HolderDoubt::kNone && MayTakeOnHint();
-    return hurry ? std::min(times.doubt_read_every, times.read_every)
-                 : times.read_every;
+    const bool hurry = suspicion != HolderSuspicion::kNone && MayTakeOnHint();
+    return hurry ? std::min(times.suspect_read_interval, times.read_interval)
+                 : times.read_interval;
   }
 };
 
@@ -133,7 +135,7 @@
   void operator()(const Event&, Fsm& fsm, From&, To&) {
     auto& book = *fsm.book;
     book.changed_while_asked = false;
-    book.out.push_back(AskHolder{book.row.endpoint, book.row.holder});
+    book.out.push_back(QueryHolder{book.row.endpoint, book.row.holder});
   }
 };
 
@@ -151,7 +153,7 @@
   void operator()(const Event&, Fsm& fsm, From&, To&) {
     auto& book = *fsm.book;
     book.out.push_back(LeaseGranted{book.epoch, book.fence_version,
-                                    book.take_reason, book.earlier_holder});
+                                    book.acquire_reason, book.previous_holder});
   }
 };
 
@@ -176,7 +178,7 @@
   void operator()(const Event&, Fsm& fsm, From&, To&) {
     auto& book = *fsm.book;
     book.unchanged_since.reset();
-    book.next_step = book.now + book.times.read_every;
+    book.next_step = book.now + book.times.read_interval;
   }
 };
 
@@ -235,7 +237,7 @@
 }  // namespace
 
 struct CellLease::Impl {
-  Impl(base::Incarnation self, std::string endpoint, LeaseTimes times) {
+  Impl(base::Incarnation self, std::string endpoint, LeaseTiming times) {
     book.self = std::move(self);
     book.endpoint = std::move(endpoint);
     book.times = times;
@@ -258,7 +260,7 @@
   void NoteTableFailure() {
     book.table_failed_at = book.now;
     book.unchanged_since.reset();
-    book.next_step = book.now + book.times.read_every;
+    book.next_step = book.now + book.times.read_interval;
   }
 
   // Each Note writes one event into the book and feeds what follows from it.
@@ -284,11 +286,11 @@
   void Note(const RowReadFailed&) {
     book.reading = false;
     NoteTableFailure();
-    const bool lapsed = book.now - book.write_sent > book.times.length;
+    const bool lapsed = book.now - book.write_sent > book.times.duration;
     if (Is(LeasePhase::kTaking) && lapsed) Feed(TakeFailed{});
   }
 
-  void Note(const LeaseWritten& event) {
+  void Note(const RowWritten& event) {
     book.writing = false;
     book.table_failed_at.reset();
     switch (book.phase) {
@@ -312,19 +314,19 @@
     }
   }
 
-  void Note(const LeaseConflict&) {
+  void Note(const RowWriteConflict&) {
     book.writing = false;
     if (Is(LeasePhase::kTaking)) return Feed(TakeFailed{});
     if (Is(LeasePhase::kHolding) || Is(LeasePhase::kReleasing)) book.Read();
   }
 
-  void Note(const LeaseNotWritten&) {
+  void Note(const RowWriteFailed&) {
     book.writing = false;
     NoteTableFailure();
     if (Is(LeasePhase::kTaking)) Feed(TakeFailed{});
   }
 
-  void Note(const LeaseUnknown&) {
+  void Note(const RowWriteUnknown&) {
     book.writing = false;
     NoteTableFailure();
     if (Is(LeasePhase::kWatching) || Is(LeasePhase::kAsking)) return;
@@ -337,50 +339,51 @@
       case HolderState::kHolding:
         return Feed(HolderLives{});
       case HolderState::kNotHolding:
-        return TakeAfterAsking(TakeReason::kNotHolding);
+        return TakeAfterAsking(AcquireReason::kNotHolding);
       case HolderState::kHoldingWithoutTable:
         if (book.asked_on_hint) return Feed(HolderLives{});
         // It renews first when the table has come back. If the row is still
         // unchanged after one more lease, only its own way is cut.
         if (book.spared_version == book.row_version) {
-          return TakeAfterAsking(TakeReason::kLapsed);
+          return TakeAfterAsking(AcquireReason::kExpired);
         }
         book.spared_version = book.row_version;
         return Feed(HolderLives{});
     }
   }
 
-  void Note(const HolderSilent&) {
+  void Note(const HolderTimedOut&) {
     if (!Is(LeasePhase::kAsking)) return;
     if (book.changed_while_asked) return Feed(HolderLives{});
-    if (!book.asked_on_hint) return TakeAfterAsking(TakeReason::kLapsed);
+    if (!book.asked_on_hint) return TakeAfterAsking(AcquireReason::kExpired);
     book.silent_version = book.row_version;
-    book.ask_not_before = book.now + book.times.read_every;
+    book.ask_not_before = book.now + book.times.read_interval;
     Feed(Unconfirmed{});
     book.Read();
   }
 
-  void Note(const HolderRefused&) {
-    if (Is(LeasePhase::kAsking)) TakeAfterAsking(TakeReason::kRefused);
+  void Note(const HolderConnectionRefused&) {
+    if (Is(LeasePhase::kAsking))
+      TakeAfterAsking(AcquireReason::kConnectionRefused);
   }
 
-  void Note(const EpochRefused& event) {
+  void Note(const EpochRejected& event) {
     book.highest_epoch_seen =
         std::max(book.highest_epoch_seen, event.epoch_seen);
     if (Is(LeasePhase::kHolding)) Lose("a later owner has been seen");
   }
 
-  void Note(const ReleaseAsked&) {
+  void Note(const ReleaseRequested&) {
     book.release_wanted = true;
     Feed(StopAsked{});
     if (Is(LeasePhase::kReleasing) && !book.writing) WriteRelease();
   }
 
-  void Note(const LookAsked&) {
+  void Note(const ReadRequested&) {
     if (Is(LeasePhase::kWatching)) book.Read();
   }
 
-  void Note(const LeaseTime&) {
+  void Note(const LeaseTimerFired&) {
     if (book.now < book.next_step) return;
     book.next_step = book.now + book.ReadPause();
     if (book.reading || book.writing) return;
@@ -408,13 +411,14 @@
     if (had_other) book.NoteChangeOfHands();
     book.row = row;
     book.row_version = event.row_version;
-    book.doubt = event.doubt;
+    book.suspicion = event.suspicion;
     if (book.writing) return;
     const auto& holder = book.row.holder;
-    if (holder.empty() || holder == book.self) return Take(TakeReason::kFree);
+    if (holder.empty() || holder == book.self)
+      return Take(AcquireReason::kFree);
     // Unchanged at least until the read was sent.
     const auto unchanged_for = book.read_sent - *book.unchanged_since;
-    if (unchanged_for >= book.times.length + book.times.margin) {
+    if (unchanged_for >= book.times.duration + book.times.clock_drift_margin) {
       book.asked_on_hint = false;
       return Feed(LooksExpired{});
     }
@@ -434,7 +438,7 @@
 
   /// A candidate that has not seen the row for half a lease watches anew.
   void NoteGoodRead() {
-    const bool gap = book.now - book.last_good_read > book.times.length / 2;
+    const bool gap = book.now - book.last_good_read > book.times.duration / 2;
     if (gap || !book.unchanged_since) book.unchanged_since = book.now;
     book.last_good_read = book.now;
   }
@@ -442,28 +446,29 @@
   /// What the group says of the holder makes a candidate ask it; the answer, or
   /// the row when there is none, decides.
   void FollowDoubt(base::Duration unchanged_for) {
-    if (book.doubt == HolderDoubt::kNone || !book.MayTakeOnHint()) return;
+    if (book.suspicion == HolderSuspicion::kNone || !book.MayTakeOnHint())
+      return;
     book.next_step = std::min(book.next_step, book.now + book.ReadPause());
     const bool was_silent = book.silent_version == book.row_version;
-    if (was_silent && book.doubt == HolderDoubt::kDead &&
-        unchanged_for >= book.times.silent_after) {
-      return Take(TakeReason::kSilent);
+    if (was_silent && book.suspicion == HolderSuspicion::kDead &&
+        unchanged_for >= book.times.unresponsive_after) {
+      return Take(AcquireReason::kHolderTimedOut);
     }
     if (was_silent && book.now < book.ask_not_before) return;
     book.asked_on_hint = true;
     Feed(Doubted{});
   }
 
-  void Take(TakeReason reason) {
-    book.take_reason = reason;
-    book.earlier_holder = book.row.holder;
+  void Take(AcquireReason reason) {
+    book.acquire_reason = reason;
+    book.previous_holder = book.row.holder;
     Feed(Free{});
   }
 
   /// `reason` when the lease had not run out before the holder was asked.
-  void TakeAfterAsking(TakeReason reason) {
+  void TakeAfterAsking(AcquireReason reason) {
     if (book.changed_while_asked) return Feed(HolderLives{});
-    Take(book.asked_on_hint ? reason : TakeReason::kLapsed);
+    Take(book.asked_on_hint ? reason : AcquireReason::kExpired);
   }
 
   void ResolveTake(const RowRead& event) {
@@ -484,9 +489,9 @@
     }
     book.row = book.written;
     book.epoch = book.written.epoch;
-    book.valid_until = book.write_sent + book.times.length;
+    book.valid_until = book.write_sent + book.times.duration;
     if (book.now >= book.valid_until) return Feed(TakeFailed{});
-    book.next_step = book.write_sent + book.times.renew_every;
+    book.next_step = book.write_sent + book.times.renew_interval;
     Feed(Took{});
     if (!book.release_wanted) return;
     Feed(StopAsked{});
@@ -494,9 +499,9 @@
   }
 
   void Renewed() {
-    book.valid_until = book.write_sent + book.times.length;
+    book.valid_until = book.write_sent + book.times.duration;
     book.table_failed_at.reset();
-    book.next_step = book.write_sent + book.times.renew_every;
+    book.next_step = book.write_sent + book.times.renew_interval;
   }
 
   void ResolveRenewal(const RowRead& event) {
@@ -520,10 +525,10 @@
 
   bool MayAct(base::TimePoint now) const {
     if (!Is(LeasePhase::kHolding)) return false;
-    if (now - book.last_handled > book.times.length) return false;
+    if (now - book.last_handled > book.times.duration) return false;
     if (now < book.valid_until) return true;
     return book.table_failed_at &&
-           now - *book.table_failed_at <= book.times.length;
+           now - *book.table_failed_at <= book.times.duration;
   }
 
   /// A holder that was paused, or whose calls hang, finds out first of all.
@@ -548,7 +553,7 @@
 };
 
 CellLease::CellLease(base::Incarnation self, std::string endpoint,
-                     LeaseTimes times)
+                     LeaseTiming times)
     : impl_(std::make_unique<Impl>(std::move(self), std::move(endpoint),
                                    times)) {}
 CellLease::~CellLease() = default;
@@ -557,7 +562,7 @@
 
 std::vector<LeaseCommand> CellLease::Begin(base::TimePoint now) {
   impl_->book.next_step = now;
-  return impl_->Handle(LeaseTime{}, now);
+  return impl_->Handle(LeaseTimerFired{}, now);
 }
 
 std::vector<LeaseCommand> CellLease::Handle(const LeaseEvent& event,
@@ -569,14 +574,14 @@
 
 bool CellLease::MayAct(base::TimePoint now) const { return impl_->MayAct(now); }
 
-bool CellLease::WithoutTable(base::TimePoint now) const {
+bool CellLease::HoldsWithoutTable(base::TimePoint now) const {
   return impl_->MayAct(now) && impl_->book.table_failed_at.has_value();
 }
 
 HolderState CellLease::state(base::TimePoint now) const {
   if (!impl_->MayAct(now)) return HolderState::kNotHolding;
-  return WithoutTable(now) ? HolderState::kHoldingWithoutTable
-                           : HolderState::kHolding;
+  return HoldsWithoutTable(now) ? HolderState::kHoldingWithoutTable
+                                : HolderState::kHolding;
 }
 
 Epoch CellLease::epoch() const { return impl_->book.epoch; }
@@ -585,6 +590,8 @@
   return impl_->book.row.holder;
 }
 
-TakeReason CellLease::take_reason() const { return impl_->book.take_reason; }
+AcquireReason CellLease::acquire_reason() const {
+  return impl_->book.acquire_reason;
+}
 
 }  // namespace lapishatch::lifecycle
--- a/src/lifecycle/cell_lease.h
+++ b/src/lifecycle/cell_lease.h
@@ -23,7 +23,7 @@
 
 /// What a candidate is told of the life that holds a cell, by the group of
 /// processes. A guess, and never enough by itself to take a cell.
-enum class HolderDoubt : std::uint8_t {
+enum class HolderSuspicion : std::uint8_t {
   kNone,
   /// It missed probes, or another life answers at its address.
   kSuspect,
@@ -32,43 +32,43 @@
 };
 
 /// Why a candidate took a cell.
-enum class TakeReason : std::uint8_t {
+enum class AcquireReason : std::uint8_t {
   /// Nobody held it.
   kFree,
   /// The row had not changed for a whole lease.
-  kLapsed,
+  kExpired,
   /// Doubted, and nobody listens at its address.
-  kRefused,
+  kConnectionRefused,
   /// Doubted, and the process at its address says that it does not hold it.
   kNotHolding,
   /// Held for dead, silent to this process over a fresh connection, and it has
   /// missed a renewal.
-  kSilent,
+  kHolderTimedOut,
 };
 
 /// Whether the cell was taken before the lease of its holder had run out.
-constexpr bool IsHint(TakeReason reason) {
-  return reason != TakeReason::kFree && reason != TakeReason::kLapsed;
+constexpr bool IsEarlyAcquire(AcquireReason reason) {
+  return reason != AcquireReason::kFree && reason != AcquireReason::kExpired;
 }
 
-struct LeaseTimes {
+struct LeaseTiming {
   /// A row unchanged for this long has no live holder.
-  base::Duration length{10'000};
+  base::Duration duration{10'000};
   /// Added by candidates, for clocks that run at different rates.
-  base::Duration margin{500};
+  base::Duration clock_drift_margin{500};
   /// Between the holder's renewals.
-  base::Duration renew_every{3'000};
+  base::Duration renew_interval{3'000};
   /// Between a candidate's reads, and between tries when the table fails.
-  base::Duration read_every{2'000};
+  base::Duration read_interval{2'000};
   /// Between a candidate's reads while the holder is doubted.
-  base::Duration doubt_read_every{250};
+  base::Duration suspect_read_interval{250};
   /// A doubted holder that is silent counts as gone when its row has not
   /// changed for this long: longer than it takes to renew.
-  base::Duration silent_after{4'500};
+  base::Duration unresponsive_after{4'500};
   /// After the cell has changed hands without a release, hints take it no more
   /// for so long; doubled by each further change, up to the limit.
-  base::Duration hint_pause{30'000};
-  base::Duration hint_pause_limit{480'000};
+  base::Duration early_acquire_pause{30'000};
+  base::Duration early_acquire_pause_limit{480'000};
 };
 
 /// A cell's row: who holds the cell.
@@ -91,41 +91,41 @@
   std::uint64_t row_version = 0;
   std::uint64_t fence_version = 0;
   /// What the group says of the row's holder by now.
-  HolderDoubt doubt = HolderDoubt::kNone;
+  HolderSuspicion suspicion = HolderSuspicion::kNone;
 };
 struct RowReadFailed {};
 /// The last write took effect. `fence_version` counts when it was a take.
-struct LeaseWritten {
+struct RowWritten {
   std::uint64_t row_version = 0;
   std::uint64_t fence_version = 0;
 };
 /// The last write met another version of a row and had no effect.
-struct LeaseConflict {};
+struct RowWriteConflict {};
 /// The last write certainly had no effect: the table is out.
-struct LeaseNotWritten {};
+struct RowWriteFailed {};
 /// The last write may or may not have taken effect.
-struct LeaseUnknown {};
+struct RowWriteUnknown {};
 struct HolderAnswered {
   HolderState state = HolderState::kNotHolding;
 };
-struct HolderSilent {};
+struct HolderTimedOut {};
 /// Nobody listens at the holder's address.
-struct HolderRefused {};
+struct HolderConnectionRefused {};
 /// A worker or the table has seen a later owner.
-struct EpochRefused {
+struct EpochRejected {
   Epoch epoch_seen = 0;
 };
 /// Planned stop.
-struct ReleaseAsked {};
+struct ReleaseRequested {};
 /// Look at the row at once.
-struct LookAsked {};
-struct LeaseTime {};
+struct ReadRequested {};
+struct LeaseTimerFired {};
 
 using LeaseEvent =
-    std::variant<RowRead, RowReadFailed, LeaseWritten, LeaseConflict,
-                 LeaseNotWritten, LeaseUnknown, HolderAnswered, HolderSilent,
-                 HolderRefused, EpochRefused, ReleaseAsked, LookAsked,
-                 LeaseTime>;
+    std::variant<RowRead, RowReadFailed, RowWritten, RowWriteConflict,
+                 RowWriteFailed, RowWriteUnknown, HolderAnswered,
+                 HolderTimedOut, HolderConnectionRefused, EpochRejected,
+                 ReleaseRequested, ReadRequested, LeaseTimerFired>;
 
 // What is to be done for a lease.
 
@@ -136,9 +136,9 @@
 struct WriteRow {
   HolderRow row;
   std::uint64_t row_version = 0;
-  bool take = false;
+  bool acquire = false;
 };
-struct AskHolder {
+struct QueryHolder {
   std::string endpoint;
   base::Incarnation holder;
 };
@@ -146,9 +146,9 @@
 struct LeaseGranted {
   Epoch epoch = 0;
   std::uint64_t fence_version = 0;
-  TakeReason reason = TakeReason::kFree;
+  AcquireReason reason = AcquireReason::kFree;
   /// Who held it before; empty when nobody did.
-  base::Incarnation earlier_holder;
+  base::Incarnation previous_holder;
 };
 /// The cell is ours no longer: drop everything, send nothing.
 struct LeaseLost {
@@ -156,7 +156,7 @@
 };
 struct LeaseReleased {};
 
-using LeaseCommand = std::variant<ReadRow, WriteRow, AskHolder, LeaseGranted,
+using LeaseCommand = std::variant<ReadRow, WriteRow, QueryHolder, LeaseGranted,
                                   LeaseLost, LeaseReleased>;
 
 /// One process's view of the lease of one cell, as candidate and holder. Pure:
@@ -168,7 +168,7 @@
 /// and the epochs at the workers decide.
 class CellLease {
  public:
-  CellLease(base::Incarnation self, std::string endpoint, LeaseTimes times);
+  CellLease(base::Incarnation self, std::string endpoint, LeaseTiming times);
   ~CellLease();
   CellLease(CellLease&&) noexcept;
   CellLease& operator=(CellLease&&) noexcept;
@@ -179,7 +179,7 @@
   std::vector<LeaseCommand> Handle(const LeaseEvent& event,
                                    base::TimePoint now);
 
-  /// When a LeaseTime is due.
+  /// When a LeaseTimerFired is due.
   base::TimePoint wake_at() const;
 
   /// Whether the holder may act at `now`: its lease runs, or the table has
@@ -188,14 +188,14 @@
   bool MayAct(base::TimePoint now) const;
 
   /// Whether the lease is held and has gone unrenewed because the table is out.
-  bool WithoutTable(base::TimePoint now) const;
+  bool HoldsWithoutTable(base::TimePoint now) const;
 
   HolderState state(base::TimePoint now) const;
   Epoch epoch() const;
   /// The holder by the row last read or written.
   const base::Incarnation& holder() const;
   /// Why the cell was taken last by this process.
-  TakeReason take_reason() const;
+  AcquireReason acquire_reason() const;
 
  private:
   struct Impl;
@@ -211,12 +211,12 @@
       "not-holding", "holding", "holding-without-table"};
 };
 template <>
-struct EnumNames<lifecycle::HolderDoubt> {
+struct EnumNames<lifecycle::HolderSuspicion> {
   static constexpr std::array<std::string_view, 3> kNames = {"none", "suspect",
                                                              "dead"};
 };
 template <>
-struct EnumNames<lifecycle::TakeReason> {
+struct EnumNames<lifecycle::AcquireReason> {
   static constexpr std::array<std::string_view, 5> kNames = {
       "free", "lapsed", "refused", "not-holding", "silent"};
 };
--- a/src/lifecycle/gang_machine.cc
+++ b/src/lifecycle/gang_state_machine.cc
@@ -1,4 +1,4 @@
-#include "lifecycle/gang_machine.h"
+#include "lifecycle/gang_state_machine.h"
 
 #include <algorithm>
 #include <boost/msm/back/state_machine.hpp>
@@ -30,7 +30,7 @@
 
 /// What is known of one member.
 struct Member {
-  MemberState state = MemberState::kAsked;
+  MemberState state = MemberState::kReserveSent;
   bool may_have_run = false;
   bool checkpoint_answered = false;
   std::string checkpoint;
@@ -40,23 +40,23 @@
 struct GangBook {
   std::vector<Member> members;
   bool can_checkpoint = false;
-  GangTimes times;
+  GangTimeouts times;
   base::TimePoint now;
   std::optional<base::TimePoint> wake_at;
   GangPhase phase = GangPhase::kReserving;
-  GangEnd end = GangEnd::kBroken;
+  GangOutcome outcome = GangOutcome::kAborted;
   std::string reason;
-  int culprit = -1;
+  int failed_member = -1;
   /// Whether the cause of the end is settled: the first one counts.
   bool cause_known = false;
   std::vector<GangCommand> out;
 
-  void Blame(GangEnd kind, std::string why, int task) {
+  void Blame(GangOutcome kind, std::string why, int task) {
     if (cause_known) return;
     cause_known = true;
-    end = kind;
+    outcome = kind;
     reason = std::move(why);
-    culprit = task;
+    failed_member = task;
   }
 };
 
@@ -100,15 +100,15 @@
 
 GangEnded EndOf(const GangBook& book) {
   GangEnded ended;
-  ended.end = book.end;
+  ended.outcome = book.outcome;
   ended.reason = book.reason;
-  ended.culprit = book.culprit;
+  ended.failed_member = book.failed_member;
   ended.may_have_run =
       std::any_of(book.members.begin(), book.members.end(),
                   [](const Member& it) { return it.may_have_run; });
   ended.checkpoints = WholeCheckpoint(book);
   if (!EveryMember(book, HasFinished)) return ended;
-  ended.end = GangEnd::kFinished;
+  ended.outcome = GangOutcome::kFinished;
   ended.reason.clear();
   return ended;
 }
@@ -145,17 +145,17 @@
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
     auto& book = *fsm.book;
-    int culprit = -1;
-    for (std::size_t i = 0; i < book.members.size() && culprit < 0; ++i) {
+    int failed_member = -1;
+    for (std::size_t i = 0; i < book.members.size() && failed_member < 0; ++i) {
       const auto state = book.members[i].state;
-      const bool silent =
-          state == MemberState::kAsked || state == MemberState::kStartSent;
-      if (silent) culprit = static_cast<int>(i);
+      const bool silent = state == MemberState::kReserveSent ||
+                          state == MemberState::kStartSent;
+      if (silent) failed_member = static_cast<int>(i);
     }
     book.Blame(
-        GangEnd::kBroken,
+        GangOutcome::kAborted,
         "no answer in time while " + std::string(base::NameOf(book.phase)),
-        culprit);
+        failed_member);
     book.out.push_back(StopMembers{});
   }
 };
@@ -194,29 +194,29 @@
     if (limit) book.wake_at = book.now + *limit;
   }
 
-  static std::optional<base::Duration> LimitOf(const GangTimes& times) {
+  static std::optional<base::Duration> LimitOf(const GangTimeouts& times) {
     switch (kPhase) {
       case GangPhase::kReserving:
-        return times.reserve_within;
+        return times.reserve_timeout;
       case GangPhase::kRecording:
-        return times.record_within;
+        return times.record_timeout;
       case GangPhase::kStarting:
-        return times.confirm_within;
+        return times.start_timeout;
       case GangPhase::kCheckpointing:
-        return times.checkpoint_within;
+        return times.checkpoint_timeout;
       case GangPhase::kRunning:
       case GangPhase::kStopping:
-      case GangPhase::kOver:
+      case GangPhase::kEnded:
         return std::nullopt;
     }
     return std::nullopt;
   }
 };
 
-struct Over : Step<GangPhase::kOver> {
+struct Over : Step<GangPhase::kEnded> {
   template <typename Event, typename Fsm>
   void on_entry(const Event& event, Fsm& fsm) {
-    Step<GangPhase::kOver>::on_entry(event, fsm);
+    Step<GangPhase::kEnded>::on_entry(event, fsm);
     fsm.book->out.push_back(EndOf(*fsm.book));
   }
 };
@@ -270,8 +270,8 @@
 
 }  // namespace
 
-struct GangMachine::Impl {
-  Impl(int tasks, bool can_checkpoint, GangTimes times) {
+struct GangStateMachine::Impl {
+  Impl(int tasks, bool can_checkpoint, GangTimeouts times) {
     book.members.resize(static_cast<std::size_t>(tasks));
     book.can_checkpoint = can_checkpoint;
     book.times = times;
@@ -292,7 +292,7 @@
 
   void Note(const MemberReserved& event) {
     auto& member = MemberOf(event.task);
-    if (member.state != MemberState::kAsked) return;
+    if (member.state != MemberState::kReserveSent) return;
     member.state = MemberState::kReserved;
     if (EveryMember(book, HasReserved)) Feed(AllReserved{});
   }
@@ -302,7 +302,7 @@
     if (HasStarted(member) || Ended(member)) return;
     member.state = MemberState::kGone;
     member.may_have_run = false;
-    book.Blame(GangEnd::kBroken, event.reason, event.task);
+    book.Blame(GangOutcome::kAborted, event.reason, event.task);
     Feed(Broken{});
   }
 
@@ -324,7 +324,7 @@
   void Note(const MemberFailed& event) {
     auto& member = MemberOf(event.task);
     member.state = MemberState::kGone;
-    book.Blame(GangEnd::kFailed, event.reason, event.task);
+    book.Blame(GangOutcome::kFailed, event.reason, event.task);
     Feed(Broken{});
   }
 
@@ -334,7 +334,7 @@
     const bool sure = event.never_started && !HasStarted(member);
     if (sure) member.may_have_run = false;
     member.state = MemberState::kGone;
-    book.Blame(GangEnd::kBroken, "a member stopped by itself", event.task);
+    book.Blame(GangOutcome::kAborted, "a member stopped by itself", event.task);
     Feed(Broken{});
   }
 
@@ -342,7 +342,7 @@
     auto& member = MemberOf(event.task);
     if (Ended(member)) return;
     member.state = MemberState::kLost;
-    book.Blame(GangEnd::kBroken, event.reason, event.task);
+    book.Blame(GangOutcome::kAborted, event.reason, event.task);
     Feed(Broken{});
   }
 
@@ -360,26 +360,26 @@
 
   void Note(const IntentRecorded&) { Feed(Recorded{}); }
 
-  void Note(const IntentRefused& event) {
+  void Note(const IntentNotRecorded& event) {
     if (book.phase != GangPhase::kRecording) return;
-    book.Blame(GangEnd::kBroken, event.reason, -1);
+    book.Blame(GangOutcome::kAborted, event.reason, -1);
     Feed(Broken{});
   }
 
-  void Note(const EvictAsked& event) {
-    if (book.phase == GangPhase::kOver) return;
-    book.Blame(GangEnd::kEvicted, event.reason, -1);
+  void Note(const EvictRequested& event) {
+    if (book.phase == GangPhase::kEnded) return;
+    book.Blame(GangOutcome::kEvicted, event.reason, -1);
     Feed(Evicted{});
   }
 
-  void Note(const CancelAsked& event) {
-    if (book.phase == GangPhase::kOver) return;
+  void Note(const CancelRequested& event) {
+    if (book.phase == GangPhase::kEnded) return;
     book.cause_known = false;
-    book.Blame(GangEnd::kCancelled, event.reason, -1);
+    book.Blame(GangOutcome::kCancelled, event.reason, -1);
     Feed(Broken{});
   }
 
-  void Note(const GangTime&) {
+  void Note(const GangTimerFired&) {
     if (!book.wake_at || book.now < *book.wake_at) return;
     book.wake_at.reset();
     Feed(StepTimeout{});
@@ -396,20 +396,22 @@
   Machine machine;
 };
 
-GangMachine::GangMachine(int tasks, bool can_checkpoint, GangTimes times)
+GangStateMachine::GangStateMachine(int tasks, bool can_checkpoint,
+                                   GangTimeouts times)
     : impl_(std::make_unique<Impl>(tasks, can_checkpoint, times)) {}
-GangMachine::~GangMachine() = default;
-GangMachine::GangMachine(GangMachine&&) noexcept = default;
-GangMachine& GangMachine::operator=(GangMachine&&) noexcept = default;
+GangStateMachine::~GangStateMachine() = default;
+GangStateMachine::GangStateMachine(GangStateMachine&&) noexcept = default;
+GangStateMachine& GangStateMachine::operator=(GangStateMachine&&) noexcept =
+    default;
 
-std::vector<GangCommand> GangMachine::Begin(base::TimePoint now) {
+std::vector<GangCommand> GangStateMachine::Begin(base::TimePoint now) {
   impl_->book.now = now;
   impl_->Feed(Begun{});
   return impl_->Settle();
 }
 
-std::vector<GangCommand> GangMachine::Adopt(std::vector<MemberState> members,
-                                            base::TimePoint now) {
+std::vector<GangCommand> GangStateMachine::Adopt(
+    std::vector<MemberState> members, base::TimePoint now) {
   auto& book = impl_->book;
   book.now = now;
   bool whole = true;
@@ -421,7 +423,7 @@
     member.may_have_run = !never_ran;
     if (HasStarted(member)) continue;
     whole = false;
-    book.Blame(GangEnd::kBroken, "a member did not run when found",
+    book.Blame(GangOutcome::kAborted, "a member did not run when found",
                static_cast<int>(i));
   }
   if (whole) {
@@ -433,20 +435,20 @@
   return impl_->Settle();
 }
 
-std::vector<GangCommand> GangMachine::Handle(const GangEvent& event,
-                                             base::TimePoint now) {
+std::vector<GangCommand> GangStateMachine::Handle(const GangEvent& event,
+                                                  base::TimePoint now) {
   impl_->book.now = now;
   std::visit([this](const auto& it) { impl_->Note(it); }, event);
   return impl_->Settle();
 }
 
-std::optional<base::TimePoint> GangMachine::wake_at() const {
+std::optional<base::TimePoint> GangStateMachine::wake_at() const {
   return impl_->book.wake_at;
 }
 
-GangPhase GangMachine::phase() const { return impl_->book.phase; }
+GangPhase GangStateMachine::phase() const { return impl_->book.phase; }
 
-MemberState GangMachine::member(int task) const {
+MemberState GangStateMachine::member(int task) const {
   return impl_->MemberOf(task).state;
 }
 
--- a/src/lifecycle/gang_machine.h
+++ b/src/lifecycle/gang_state_machine.h
@@ -1,5 +1,5 @@
-#ifndef LAPISHATCH_LIFECYCLE_GANG_MACHINE_H_
-#define LAPISHATCH_LIFECYCLE_GANG_MACHINE_H_
+#ifndef LAPISHATCH_LIFECYCLE_GANG_STATE_MACHINE_H_
+#define LAPISHATCH_LIFECYCLE_GANG_STATE_MACHINE_H_
 
 #include <array>
 #include <cstdint>
@@ -15,12 +15,12 @@
 namespace lapishatch::lifecycle {
 
 /// How long each step of a gang may take before the whole gang stops.
-struct GangTimes {
-  base::Duration reserve_within{3'000};
-  base::Duration record_within{4'000};
-  base::Duration confirm_within{4'000};
+struct GangTimeouts {
+  base::Duration reserve_timeout{3'000};
+  base::Duration record_timeout{4'000};
+  base::Duration start_timeout{4'000};
   /// Grace of an eviction.
-  base::Duration checkpoint_within{3'500};
+  base::Duration checkpoint_timeout{3'500};
 };
 
 enum class GangPhase : std::uint8_t {
@@ -30,24 +30,24 @@
   kRunning,
   kCheckpointing,
   kStopping,
-  kOver,
+  kEnded,
 };
 
 /// Why a gang ended.
-enum class GangEnd : std::uint8_t {
+enum class GangOutcome : std::uint8_t {
   /// Every member finished.
   kFinished,
   /// A member failed.
   kFailed,
   /// A member was refused, lost, or did not answer in time.
-  kBroken,
+  kAborted,
   kEvicted,
   kCancelled,
 };
 
 /// What is known of one member.
 enum class MemberState : std::uint8_t {
-  kAsked,
+  kReserveSent,
   kReserved,
   kStartSent,
   kRunning,
@@ -97,22 +97,22 @@
 };
 struct IntentRecorded {};
 /// The intent is certainly not in force, or could not be written in time.
-struct IntentRefused {
+struct IntentNotRecorded {
   std::string reason;
 };
-struct EvictAsked {
+struct EvictRequested {
   std::string reason;
 };
-struct CancelAsked {
+struct CancelRequested {
   std::string reason;
 };
-struct GangTime {};
+struct GangTimerFired {};
 
 using GangEvent =
     std::variant<MemberReserved, MemberRefused, MemberStarted, MemberFinished,
                  MemberFailed, MemberGone, MemberLost, MemberCheckpointed,
-                 CheckpointRefused, IntentRecorded, IntentRefused, EvictAsked,
-                 CancelAsked, GangTime>;
+                 CheckpointRefused, IntentRecorded, IntentNotRecorded,
+                 EvictRequested, CancelRequested, GangTimerFired>;
 
 // What is to be done for a gang.
 
@@ -125,12 +125,12 @@
 /// Stop or release every member that may hold anything.
 struct StopMembers {};
 struct GangEnded {
-  GangEnd end = GangEnd::kBroken;
+  GangOutcome outcome = GangOutcome::kAborted;
   std::string reason;
   /// Some member may have begun its work.
   bool may_have_run = false;
   /// The member that broke the gang, or -1.
-  int culprit = -1;
+  int failed_member = -1;
   /// One complete checkpoint per member, or none.
   std::vector<std::string> checkpoints;
 };
@@ -140,12 +140,12 @@
                  CheckpointMembers, StopMembers, GangEnded>;
 
 /// One attempt to run one gang: all of its members, or none. Pure.
-class GangMachine {
+class GangStateMachine {
  public:
-  GangMachine(int tasks, bool can_checkpoint, GangTimes times);
-  ~GangMachine();
-  GangMachine(GangMachine&&) noexcept;
-  GangMachine& operator=(GangMachine&&) noexcept;
+  GangStateMachine(int tasks, bool can_checkpoint, GangTimeouts times);
+  ~GangStateMachine();
+  GangStateMachine(GangStateMachine&&) noexcept;
+  GangStateMachine& operator=(GangStateMachine&&) noexcept;
 
   /// A new attempt.
   std::vector<GangCommand> Begin(base::TimePoint now);
@@ -158,7 +158,7 @@
 
   std::vector<GangCommand> Handle(const GangEvent& event, base::TimePoint now);
 
-  /// When a GangTime is due, if ever.
+  /// When a GangTimerFired is due, if ever.
   std::optional<base::TimePoint> wake_at() const;
 
   GangPhase phase() const;
@@ -179,7 +179,7 @@
       "checkpointing", "stopping",  "over"};
 };
 template <>
-struct EnumNames<lifecycle::GangEnd> {
+struct EnumNames<lifecycle::GangOutcome> {
   static constexpr std::array<std::string_view, 5> kNames = {
       "finished", "failed", "broken", "evicted", "cancelled"};
 };
@@ -190,4 +190,4 @@
 };
 }  // namespace lapishatch::base
 
-#endif  // LAPISHATCH_LIFECYCLE_GANG_MACHINE_H_
+#endif  // LAPISHATCH_LIFECYCLE_GANG_STATE_MACHINE_H_
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -6,7 +6,7 @@
 /// out.
 
 #include "lifecycle/cell_lease.h"
-#include "lifecycle/gang_machine.h"
+#include "lifecycle/gang_state_machine.h"
 #include "lifecycle/worker_protocol.h"
 
 #endif  // LAPISHATCH_LIFECYCLE_LIFECYCLE_H_
--- a/src/lifecycle/worker_protocol.h
+++ b/src/lifecycle/worker_protocol.h
@@ -162,7 +162,7 @@
 };
 
 /// The worker has restarted: nothing of the order was carried out.
-struct OtherIncarnation {
+struct IncarnationMismatch {
   base::Incarnation incarnation;
 };
 
@@ -172,12 +172,12 @@
 };
 
 /// The order may or may not have been carried out, in whole or from the front.
-struct OrderUnknown {
+struct OrderOutcomeUnknown {
   std::string detail;
 };
 
-using OrderOutcome = std::variant<OrderDone, StaleEpoch, OtherIncarnation,
-                                  OrderNotSent, OrderUnknown>;
+using OrderOutcome = std::variant<OrderDone, StaleEpoch, IncarnationMismatch,
+                                  OrderNotSent, OrderOutcomeUnknown>;
 
 }  // namespace lapishatch::lifecycle
 
--- a/src/routing/claimed_request.cc
+++ b/src/routing/claimed_request.cc
@@ -298,7 +298,7 @@
 }
 
 void ClaimedRequest::OnDispatchEnded(DispatchResult result) {
-  if (auto* answer = std::get_if<backends::RunnerAnswer>(&result)) {
+  if (auto* answer = std::get_if<backends::RunnerResponse>(&result)) {
     answer_ = {answer->status, std::move(answer->content_type),
                std::move(answer->body)};
     return Feed(ClaimEvent::kRunnerAnswered);
--- a/src/routing/request_path.cc
+++ b/src/routing/request_path.cc
@@ -182,7 +182,7 @@
   }
 
   static RequestOutcome OutcomeOf(DispatchResult result) {
-    if (auto* answer = std::get_if<backends::RunnerAnswer>(&result)) {
+    if (auto* answer = std::get_if<backends::RunnerResponse>(&result)) {
       return RequestAnswered{answer->status, std::move(answer->content_type),
                              std::move(answer->body)};
     }
--- a/src/routing/runner_pool.cc
+++ b/src/routing/runner_pool.cc
@@ -104,7 +104,7 @@
 double RunnerPool::ScoreOf(const Runner& runner, base::TimePoint now) const {
   const double load = runner.others + runner.in_flight;
   const double slots = std::max(runner.slots, 1);
-  const bool suspect = runner.health.state() != backends::RunnerState::kWorking;
+  const bool suspect = runner.health.state() != backends::RunnerState::kHealthy;
   const bool last_choice = suspect || now < runner.slow_until;
   return load / slots + (last_choice ? kLastChoicePenalty : 0);
 }
@@ -165,7 +165,7 @@
       std::max(0, load.busy_slots + load.waiting - runner.in_flight);
   runner.reported_at = now;
   runner.ping_under_way = false;
-  runner.health.Answered(now);
+  runner.health.RecordResponse(now);
 }
 
 void RunnerPool::NoteSuccess(Runner& runner) {
@@ -216,7 +216,7 @@
 }
 
 void RunnerPool::NoteUnanswered(Runner& runner, base::TimePoint now) {
-  runner.health.Lost(now);
+  runner.health.RecordFailure(now);
   Blend(failure_rate_, 1, kNewestOfService);
   NoteFailure(runner, now);
 }
@@ -269,12 +269,12 @@
     auto& runner = *runners_[i];
     if (!runner.listed || runner.ping_under_way) continue;
     const bool working =
-        runner.health.state() == backends::RunnerState::kWorking;
+        runner.health.state() == backends::RunnerState::kHealthy;
     const bool stale = now - runner.reported_at >= options_.stale_when_waiting;
     const bool wanted = requests_wait && working && stale;
-    if (!wanted && !runner.health.PingDue(now)) continue;
+    if (!wanted && !runner.health.IsPingDue(now)) continue;
     runner.ping_under_way = true;
-    runner.health.PingSent();
+    runner.health.RecordPingSent();
     due.push_back(i);
   }
   return due;
@@ -288,7 +288,7 @@
 bool RunnerPool::OnPingFailed(RunnerIndex index, base::TimePoint now) {
   auto& runner = *runners_[index];
   runner.ping_under_way = false;
-  runner.health.PingFailed(now);
+  runner.health.RecordPingFailure(now);
   return IsUnreachable(index);
 }
 
--- a/src/routing/service_dispatcher.cc
+++ b/src/routing/service_dispatcher.cc
@@ -217,19 +217,20 @@
   const auto work = works_.find(open.token);
   if (work != works_.end()) --work->second->open_sends;
   const bool was_quarantined = pool_.IsQuarantined(open.runner, loop_.Now());
-  std::visit(Overloaded{
-                 [&](backends::RunnerAnswer& answer) {
-                   OnAnswer(open, std::move(answer));
-                 },
-                 [&](const backends::RunnerRefused& refused) {
-                   OnRefused(open, refused);
-                 },
-                 [&](const backends::RunnerNotReached& not_reached) {
-                   OnNotReached(open, not_reached);
-                 },
-                 [&](const backends::RunnerLost& lost) { OnLost(open, lost); },
-             },
-             outcome);
+  std::visit(
+      Overloaded{
+          [&](backends::RunnerResponse& answer) {
+            OnAnswer(open, std::move(answer));
+          },
+          [&](const backends::RunnerRefused& refused) {
+            OnRefused(open, refused);
+          },
+          [&](const backends::RunnerNotReached& not_reached) {
+            OnNotReached(open, not_reached);
+          },
+          [&](const backends::RunnerResponseLost& lost) { OnLost(open, lost); },
+      },
+      outcome);
   if (!was_quarantined && pool_.IsQuarantined(open.runner, loop_.Now())) {
     base::Log(base::events::kRunnerQuarantined,
               {{"runner", pool_.name(open.runner)}, {"service", service_}});
@@ -238,7 +239,7 @@
 }
 
 void ServiceDispatcher::OnAnswer(const Open& open,
-                                 backends::RunnerAnswer answer) {
+                                 backends::RunnerResponse answer) {
   const auto now = loop_.Now();
   const bool failed = answer.status >= kFirstServerError;
   pool_.OnAnswer(open.runner, answer.load, failed, now - open.sent_at, now);
@@ -277,7 +278,7 @@
 }
 
 void ServiceDispatcher::OnLost(const Open& open,
-                               const backends::RunnerLost& lost) {
+                               const backends::RunnerResponseLost& lost) {
   pool_.OnLost(open.runner, loop_.Now());
   const auto it = works_.find(open.token);
   if (it == works_.end() || it->second->open_sends > 0) return;
--- a/src/routing/service_dispatcher.h
+++ b/src/routing/service_dispatcher.h
@@ -66,7 +66,7 @@
 };
 
 using DispatchResult =
-    std::variant<backends::RunnerAnswer, NotDispatched, DispatchLost>;
+    std::variant<backends::RunnerResponse, NotDispatched, DispatchLost>;
 
 /// A request for ServiceDispatcher. The callbacks come on the dispatcher's
 /// loop, possibly before Submit returns.
@@ -140,11 +140,11 @@
   void Pump();
   void Send(RequestToken token, RunnerIndex runner);
   void OnOutcome(std::uint64_t send, backends::RunnerOutcome outcome);
-  void OnAnswer(const Open& open, backends::RunnerAnswer answer);
+  void OnAnswer(const Open& open, backends::RunnerResponse answer);
   void OnRefused(const Open& open, const backends::RunnerRefused& refused);
   void OnNotReached(const Open& open,
                     const backends::RunnerNotReached& not_reached);
-  void OnLost(const Open& open, const backends::RunnerLost& lost);
+  void OnLost(const Open& open, const backends::RunnerResponseLost& lost);
   void SendElsewhere(RequestToken token, const std::string& detail);
   bool MayRunAgain(const Work& work, RunnerIndex runner);
   void GiveUpSends(RunnerIndex silent);
--- a/src/scheduler/cell_owner.cc
+++ b/src/scheduler/cell_owner.cc
@@ -23,12 +23,12 @@
     stopped_ = std::move(done);
     stopping_ = true;
     if (!run_) return Release();
-    ports_.loop.After(options_.lease.length,
+    ports_.loop.After(options_.lease.duration,
                       scope_.Guard([this] { Release(); }));
     run_->HandOver([this] { Release(); });
   }
 
-  void CheckNow() { keeper_.Tell(lifecycle::LookAsked{}); }
+  void CheckNow() { keeper_.Tell(lifecycle::ReadRequested{}); }
 
   ProbeAnswer AnswerProbe(const base::Incarnation& holder) const {
     ProbeAnswer answer;
@@ -69,16 +69,16 @@
   void OnGranted(const lifecycle::LeaseGranted& grant) {
     base::Log(base::events::kCellTaken,
               {{"cell", options_.cell}, {"epoch", grant.epoch}});
-    if (lifecycle::IsHint(grant.reason)) LogHint(grant);
+    if (lifecycle::IsEarlyAcquire(grant.reason)) LogHint(grant);
     taken_ = grant.reason;
-    taken_from_ = grant.earlier_holder;
+    taken_from_ = grant.previous_holder;
     internal::CellRun::Hooks hooks;
     hooks.may_act = [this] { return keeper_.MayAct(); };
     hooks.deposed = [this](lifecycle::Epoch seen) {
-      keeper_.Tell(lifecycle::EpochRefused{seen});
+      keeper_.Tell(lifecycle::EpochRejected{seen});
     };
     hooks.without_table = [this] {
-      return keeper_.lease().WithoutTable(ports_.loop.Now());
+      return keeper_.lease().HoldsWithoutTable(ports_.loop.Now());
     };
     run_ = std::make_unique<internal::CellRun>(options_, ports_, grant,
                                                std::move(hooks));
@@ -89,7 +89,7 @@
               {{"cell", options_.cell},
                {"epoch", grant.epoch},
                {"reason", base::NameOf(grant.reason)},
-               {"earlier_holder", grant.earlier_holder}});
+               {"earlier_holder", grant.previous_holder}});
   }
 
   void OnLost(const lifecycle::LeaseLost& lost) {
@@ -110,7 +110,7 @@
   void Release() {
     if (releasing_) return;
     releasing_ = true;
-    keeper_.Tell(lifecycle::ReleaseAsked{});
+    keeper_.Tell(lifecycle::ReleaseRequested{});
   }
 
   void OnReleased() {
@@ -127,7 +127,7 @@
   std::unique_ptr<internal::CellRun> run_;
   std::vector<std::unique_ptr<internal::CellRun>> dropped_;
   internal::LeaseKeeper keeper_;
-  lifecycle::TakeReason taken_ = lifecycle::TakeReason::kFree;
+  lifecycle::AcquireReason taken_ = lifecycle::AcquireReason::kFree;
   base::Incarnation taken_from_;
   bool stopping_ = false;
   bool releasing_ = false;
--- a/src/scheduler/cell_owner.h
+++ b/src/scheduler/cell_owner.h
@@ -51,7 +51,7 @@
   /// Holder by the row last read or written.
   base::Incarnation holder;
   /// Why this process took the cell, while it holds it.
-  std::optional<lifecycle::TakeReason> taken;
+  std::optional<lifecycle::AcquireReason> taken;
   /// Who held it before, empty when nobody did.
   base::Incarnation taken_from;
   bool table_out = false;
--- a/src/scheduler/gang_runner.cc
+++ b/src/scheduler/gang_runner.cc
@@ -59,8 +59,9 @@
   loop_.Cancel(timer_);
   const auto at = machine_.wake_at();
   if (!at) return;
-  timer_ = loop_.After(std::max(*at - loop_.Now(), base::Duration(1)),
-                       scope_.Guard([this] { Tell(lifecycle::GangTime{}); }));
+  timer_ =
+      loop_.After(std::max(*at - loop_.Now(), base::Duration(1)),
+                  scope_.Guard([this] { Tell(lifecycle::GangTimerFired{}); }));
 }
 
 lifecycle::TaskKey GangRunner::KeyOf(int task) const {
--- a/src/scheduler/group_word.cc
+++ b/src/scheduler/group_word.cc
@@ -6,32 +6,32 @@
 namespace lapishatch::scheduler {
 namespace {
 
-lifecycle::HolderDoubt DoubtOf(membership::MemberState state) {
+lifecycle::HolderSuspicion DoubtOf(membership::MemberState state) {
   switch (state) {
     case membership::MemberState::kAlive:
-      return lifecycle::HolderDoubt::kNone;
+      return lifecycle::HolderSuspicion::kNone;
     case membership::MemberState::kSuspect:
-      return lifecycle::HolderDoubt::kSuspect;
+      return lifecycle::HolderSuspicion::kSuspect;
     case membership::MemberState::kDead:
     case membership::MemberState::kLeft:
-      return lifecycle::HolderDoubt::kDead;
+      return lifecycle::HolderSuspicion::kDead;
   }
-  return lifecycle::HolderDoubt::kNone;
+  return lifecycle::HolderSuspicion::kNone;
 }
 
 }  // namespace
 
-lifecycle::HolderDoubt DoubtOf(const membership::View& view,
-                               const base::Incarnation& holder,
-                               const http::Endpoint& at) {
-  auto doubt = lifecycle::HolderDoubt::kNone;
+lifecycle::HolderSuspicion DoubtOf(const membership::View& view,
+                                   const base::Incarnation& holder,
+                                   const http::Endpoint& at) {
+  auto doubt = lifecycle::HolderSuspicion::kNone;
   for (const auto& it : view.members) {
     const auto& identity = it.identity;
     if (identity.incarnation == holder) return DoubtOf(it.state);
     const bool same_address = identity.endpoint.address == at.address &&
                               identity.endpoint.port == at.port;
     if (!same_address || !membership::IsPresent(it.state)) continue;
-    doubt = lifecycle::HolderDoubt::kSuspect;
+    doubt = lifecycle::HolderSuspicion::kSuspect;
   }
   return doubt;
 }
--- a/src/scheduler/group_word.h
+++ b/src/scheduler/group_word.h
@@ -12,9 +12,9 @@
 
 /// What the members of the group say of `holder`. Another life that is present
 /// at its address speaks against it.
-lifecycle::HolderDoubt DoubtOf(const membership::View& view,
-                               const base::Incarnation& holder,
-                               const http::Endpoint& at);
+lifecycle::HolderSuspicion DoubtOf(const membership::View& view,
+                                   const base::Incarnation& holder,
+                                   const http::Endpoint& at);
 
 /// Follows the schedulers of the own failure domain, to see when one comes into
 /// doubt: it may hold a cell.
--- a/src/scheduler/internal/gang_runner.h
+++ b/src/scheduler/internal/gang_runner.h
@@ -19,7 +19,7 @@
   struct Hooks {
     /// The link to a worker, or null when the cell has no such worker.
     std::function<WorkerLink*(const base::WorkerName&)> link;
-    /// Record the intent, then tell IntentRecorded or IntentRefused.
+    /// Record the intent, then tell IntentRecorded or IntentNotRecorded.
     std::function<void(GangRunner&)> record;
     /// Every member is confirmed.
     std::function<void(GangRunner&)> running;
@@ -108,7 +108,7 @@
   const base::JobName job_;
   const config::JobSpec spec_;
   Intent intent_;
-  lifecycle::GangMachine machine_;
+  lifecycle::GangStateMachine machine_;
   base::TimePoint started_;
   bool confirmed_ = false;
   bool partly_finished_told_ = false;
--- a/src/scheduler/internal/lease_keeper.h
+++ b/src/scheduler/internal/lease_keeper.h
@@ -44,13 +44,13 @@
 
   void Do(const lifecycle::ReadRow& command);
   void Do(const lifecycle::WriteRow& command);
-  void Do(const lifecycle::AskHolder& command);
+  void Do(const lifecycle::QueryHolder& command);
   void Do(const lifecycle::LeaseGranted& command);
   void Do(const lifecycle::LeaseLost& command);
   void Do(const lifecycle::LeaseReleased& command);
 
   void OnRow(const store::ReadResult& result);
-  lifecycle::HolderDoubt DoubtOf(const lifecycle::HolderRow& row) const;
+  lifecycle::HolderSuspicion DoubtOf(const lifecycle::HolderRow& row) const;
   void OnFence(lifecycle::RowRead row, const store::ReadResult& result);
   void OnCommit(const store::CommitResult& result);
   void OnProbe(const ProbeResult& result);
--- a/src/scheduler/job_board.cc
+++ b/src/scheduler/job_board.cc
@@ -213,7 +213,7 @@
       return;
     case Stage::kActive: {
       const auto gang = job->gang;
-      return gang->Tell(lifecycle::CancelAsked{"cancelled"});
+      return gang->Tell(lifecycle::CancelRequested{"cancelled"});
     }
     case Stage::kQueued:
       ports_.planner.Cancel(name);
@@ -287,7 +287,7 @@
   const auto* job = Find(decision.job);
   if (job == nullptr || job->gang == nullptr) return;
   const auto gang = job->gang;
-  gang->Tell(lifecycle::EvictAsked{decision.reason});
+  gang->Tell(lifecycle::EvictRequested{decision.reason});
 }
 
 void JobBoard::Do(const placement::RefuseGang& decision) {
@@ -324,7 +324,7 @@
   const auto gang = job.gang;
   gang->Adopt(std::move(found.members));
   for (const auto& end : found.ends) gang->OnTask(end);
-  if (job.cancelled) gang->Tell(lifecycle::CancelAsked{"cancelled"});
+  if (job.cancelled) gang->Tell(lifecycle::CancelRequested{"cancelled"});
 }
 
 void JobBoard::AdoptUnrecorded(const AcceptedJob& accepted, Intent intent,
--- a/src/scheduler/job_board_ends.cc
+++ b/src/scheduler/job_board_ends.cc
@@ -73,7 +73,7 @@
       base::Log(base::events::kForeignIntent, {{"job", name}});
       job->foreign_intent = true;
       return gang->Tell(
-          lifecycle::IntentRefused{"another attempt is recorded"});
+          lifecycle::IntentNotRecorded{"another attempt is recorded"});
   }
 }
 
@@ -108,11 +108,12 @@
   const bool early =
       ports_.loop.Now() - gang.started() < options_.early_failure;
   const auto& members = gang.intent().members;
-  if (ended.end == lifecycle::GangEnd::kFailed && early && ended.culprit >= 0) {
-    const auto culprit = static_cast<std::size_t>(ended.culprit);
+  if (ended.outcome == lifecycle::GangOutcome::kFailed && early &&
+      ended.failed_member >= 0) {
+    const auto culprit = static_cast<std::size_t>(ended.failed_member);
     return ports_.workers.StartFailed(members.at(culprit).worker, gang.job());
   }
-  if (ended.end != lifecycle::GangEnd::kFinished && early) return;
+  if (ended.outcome != lifecycle::GangOutcome::kFinished && early) return;
   for (const auto& member : members) {
     ports_.workers.StartSucceeded(member.worker);
   }
@@ -130,9 +131,9 @@
   NoteAtLarge(gang);
   auto* job = Find(gang.job());
   if (job == nullptr) return;
-  if (ended.end != lifecycle::GangEnd::kFinished) {
+  if (ended.outcome != lifecycle::GangOutcome::kFinished) {
     base::Log(base::events::kGangStopped, {{"job", gang.job()},
-                                           {"end", base::NameOf(ended.end)},
+                                           {"end", base::NameOf(ended.outcome)},
                                            {"reason", ended.reason}});
   }
   Conclude(*job, runner, ended);
@@ -140,10 +141,10 @@
 
 void JobBoard::Conclude(Job& job, const std::shared_ptr<GangRunner>& gang,
                         const lifecycle::GangEnded& ended) {
-  using lifecycle::GangEnd;
+  using lifecycle::GangOutcome;
   const bool idempotent = gang->spec().idempotent;
   const bool may_run_again = idempotent || !ended.may_have_run;
-  if (ended.end == GangEnd::kFinished) {
+  if (ended.outcome == GangOutcome::kFinished) {
     return Finish(job, gang, config::JobPhase::kFinished, "");
   }
   if (job.foreign_intent) {
@@ -154,10 +155,10 @@
     to_load_.push_back(job.accepted.name);
     return StartLoads();
   }
-  if (job.cancelled || ended.end == GangEnd::kCancelled) {
+  if (job.cancelled || ended.outcome == GangOutcome::kCancelled) {
     return Finish(job, gang, config::JobPhase::kCancelled, ended.reason);
   }
-  if (ended.end == GangEnd::kEvicted) {
+  if (ended.outcome == GangOutcome::kEvicted) {
     const bool whole = !ended.checkpoints.empty();
     if (whole) job.status.checkpoint = gang->CheckpointPrefix();
     if (whole || may_run_again) {
@@ -168,7 +169,7 @@
                       ") without a whole checkpoint; it is non-idempotent and "
                       "is not run again");
   }
-  const bool failed = ended.end == GangEnd::kFailed;
+  const bool failed = ended.outcome == GangOutcome::kFailed;
   if (failed) ++job.failures;
   if (!may_run_again) {
     if (failed) {
--- a/src/scheduler/lease_keeper.cc
+++ b/src/scheduler/lease_keeper.cc
@@ -21,19 +21,19 @@
 lifecycle::LeaseEvent EventOf(const store::CommitResult& result) {
   struct Visitor {
     lifecycle::LeaseEvent operator()(const store::Committed& it) const {
-      lifecycle::LeaseWritten written;
+      lifecycle::RowWritten written;
       written.row_version = it.versions.at(0);
       if (it.versions.size() > 1) written.fence_version = it.versions[1];
       return written;
     }
     lifecycle::LeaseEvent operator()(const store::Conflict&) const {
-      return lifecycle::LeaseConflict{};
+      return lifecycle::RowWriteConflict{};
     }
     lifecycle::LeaseEvent operator()(const store::NotDone&) const {
-      return lifecycle::LeaseNotWritten{};
+      return lifecycle::RowWriteFailed{};
     }
     lifecycle::LeaseEvent operator()(const store::UnknownOutcome&) const {
-      return lifecycle::LeaseUnknown{};
+      return lifecycle::RowWriteUnknown{};
     }
   };
   return std::visit(Visitor(), result);
@@ -44,10 +44,10 @@
     return lifecycle::HolderAnswered{it.state};
   }
   lifecycle::LeaseEvent operator()(const ProbeFailed&) const {
-    return lifecycle::HolderSilent{};
+    return lifecycle::HolderTimedOut{};
   }
   lifecycle::LeaseEvent operator()(const ProbeRefused&) const {
-    return lifecycle::HolderRefused{};
+    return lifecycle::HolderConnectionRefused{};
   }
 };
 
@@ -78,7 +78,7 @@
 
 bool LeaseKeeper::MayAct() {
   if (lease_.MayAct(loop_.Now())) return true;
-  Tell(lifecycle::LeaseTime{});
+  Tell(lifecycle::LeaseTimerFired{});
   return false;
 }
 
@@ -93,8 +93,8 @@
   loop_.Cancel(timer_);
   const auto delay =
       std::max(lease_.wake_at() - loop_.Now(), base::Duration(1));
-  timer_ = loop_.After(delay,
-                       scope_.Guard([this] { Tell(lifecycle::LeaseTime{}); }));
+  timer_ = loop_.After(
+      delay, scope_.Guard([this] { Tell(lifecycle::LeaseTimerFired{}); }));
 }
 
 void LeaseKeeper::Do(const lifecycle::ReadRow&) {
@@ -114,7 +114,7 @@
   // Only a holder needs the fence: every take writes both rows.
   const bool ours = row.row && row.row->holder == options_.incarnation;
   if (!ours) {
-    if (row.row) row.doubt = DoubtOf(*row.row);
+    if (row.row) row.suspicion = DoubtOf(*row.row);
     return Tell(row);
   }
   table_.Read(
@@ -124,9 +124,9 @@
       }));
 }
 
-lifecycle::HolderDoubt LeaseKeeper::DoubtOf(
+lifecycle::HolderSuspicion LeaseKeeper::DoubtOf(
     const lifecycle::HolderRow& row) const {
-  if (!group_ || row.holder.empty()) return lifecycle::HolderDoubt::kNone;
+  if (!group_ || row.holder.empty()) return lifecycle::HolderSuspicion::kNone;
   return group_(row.holder, EndpointOf(row.endpoint));
 }
 
@@ -143,7 +143,7 @@
   const auto value = EncodeHolder(command.row);
   transaction.conditions = {{CellKey(options_.cell), command.row_version}};
   transaction.writes = {{CellKey(options_.cell), value}};
-  if (command.take) {
+  if (command.acquire) {
     transaction.writes.push_back({FenceKey(options_.cell), value});
   }
   table_.Commit(
@@ -155,7 +155,7 @@
   Tell(EventOf(result));
 }
 
-void LeaseKeeper::Do(const lifecycle::AskHolder& command) {
+void LeaseKeeper::Do(const lifecycle::QueryHolder& command) {
   probe_.Ask(EndpointOf(command.endpoint), options_.cell, command.holder,
              scope_.OnLoop([this](const ProbeResult& it) { OnProbe(it); }));
 }
--- a/src/scheduler/owner_options.h
+++ b/src/scheduler/owner_options.h
@@ -18,8 +18,8 @@
   /// Where other candidates ask this process about the cell.
   http::Endpoint endpoint;
 
-  lifecycle::LeaseTimes lease;
-  lifecycle::GangTimes gang;
+  lifecycle::LeaseTiming lease;
+  lifecycle::GangTimeouts gang;
   placement::PlannerOptions planner;
 
   /// A reservation lapses after this unless started: longer than a gang may
--- a/src/scheduler/owner_probe.h
+++ b/src/scheduler/owner_probe.h
@@ -29,7 +29,7 @@
 
 /// What the group of processes says of the life that a cell row names, and of
 /// its address. Called on the cell's loop.
-using GroupWord = std::function<lifecycle::HolderDoubt(
+using GroupWord = std::function<lifecycle::HolderSuspicion(
     const base::Incarnation& holder, const http::Endpoint& at)>;
 
 /// Asks the process that a cell row names as holder whether it still holds the
--- a/src/scheduler/worker_link.cc
+++ b/src/scheduler/worker_link.cc
@@ -71,14 +71,14 @@
   if (const auto* stale = std::get_if<lifecycle::StaleEpoch>(&outcome)) {
     return hooks_.deposed(stale->epoch_seen);
   }
-  if (std::holds_alternative<lifecycle::OtherIncarnation>(outcome)) {
+  if (std::holds_alternative<lifecycle::IncarnationMismatch>(outcome)) {
     EndAll(sent, CommandEnd::kNotDone, "worker has restarted");
     return SchedulePoll(base::Duration(0));
   }
   if (const auto* it = std::get_if<lifecycle::OrderNotSent>(&outcome)) {
     return EndAll(sent, CommandEnd::kNotDone, it->detail);
   }
-  if (const auto* it = std::get_if<lifecycle::OrderUnknown>(&outcome)) {
+  if (const auto* it = std::get_if<lifecycle::OrderOutcomeUnknown>(&outcome)) {
     return EndAll(sent, CommandEnd::kUnknown, it->detail);
   }
   const auto& results = std::get<lifecycle::OrderDone>(outcome).results;
@@ -120,11 +120,11 @@
   const bool wait = reachable_ && held_.empty();
   if (wait) query.wait = options_.poll_wait;
   query.renew = hooks_.renewal(*this);
-  client_.Report(worker_.endpoint, query,
-                 scope_.OnLoop([this](const backends::ReportResult& it) {
-                   polling_ = false;
-                   OnReport(it);
-                 }));
+  client_.FetchReport(worker_.endpoint, query,
+                      scope_.OnLoop([this](const backends::ReportResult& it) {
+                        polling_ = false;
+                        OnReport(it);
+                      }));
 }
 
 void WorkerLink::OnReport(const backends::ReportResult& result) {
--- a/src/scheduler_main/main.cc
+++ b/src/scheduler_main/main.cc
@@ -20,13 +20,13 @@
            process.failure_domain.str();
   }
   const auto& lease = settings.owner.lease;
-  if (lease.renew_every * 2 > lease.length) {
+  if (lease.renew_interval * 2 > lease.duration) {
     return "scheduler.lease_renew_ms must be at most half of lease_ms";
   }
-  if (lease.silent_after <= lease.renew_every) {
+  if (lease.unresponsive_after <= lease.renew_interval) {
     return "scheduler.silent_after_ms must be above lease_renew_ms";
   }
-  if (lease.hint_pause > lease.hint_pause_limit) {
+  if (lease.early_acquire_pause > lease.early_acquire_pause_limit) {
     return "scheduler.hint_pause_ms must be at most hint_pause_limit_ms";
   }
   return {};
--- a/src/scheduler_main/scheduler_settings.cc
+++ b/src/scheduler_main/scheduler_settings.cc
@@ -24,26 +24,27 @@
                "Failure domains of the whole system, separated by commas; the "
                "same in every process.",
                config::Presence::kRequired);
-  section.Millis("lease_ms", owner.lease.length, 100, kHourMs,
+  section.Millis("lease_ms", owner.lease.duration, 100, kHourMs,
                  "A cell's row unchanged for this long has no live owner.");
-  section.Millis("lease_margin_ms", owner.lease.margin, 10, kHourMs,
+  section.Millis("lease_margin_ms", owner.lease.clock_drift_margin, 10, kHourMs,
                  "Added by candidates, for clocks of different rates.");
-  section.Millis("lease_renew_ms", owner.lease.renew_every, 10, kHourMs,
+  section.Millis("lease_renew_ms", owner.lease.renew_interval, 10, kHourMs,
                  "Between the owner's renewals.");
-  section.Millis("lease_read_ms", owner.lease.read_every, 10, kHourMs,
+  section.Millis("lease_read_ms", owner.lease.read_interval, 10, kHourMs,
                  "Between a candidate's reads.");
-  section.Millis("doubt_read_ms", owner.lease.doubt_read_every, 10, kHourMs,
+  section.Millis("doubt_read_ms", owner.lease.suspect_read_interval, 10,
+                 kHourMs,
                  "Between a candidate's reads while the group doubts the "
                  "owner.");
-  section.Millis("silent_after_ms", owner.lease.silent_after, 10, kHourMs,
+  section.Millis("silent_after_ms", owner.lease.unresponsive_after, 10, kHourMs,
                  "An owner that counts as dead in the group and does not "
                  "answer is replaced when its row has not changed for this "
                  "long; above lease_renew_ms.");
-  section.Millis("hint_pause_ms", owner.lease.hint_pause, 10, kHourMs,
+  section.Millis("hint_pause_ms", owner.lease.early_acquire_pause, 10, kHourMs,
                  "After an owner was replaced, only a lapsed lease replaces "
                  "the next one for so long; doubled each time.");
-  section.Millis("hint_pause_limit_ms", owner.lease.hint_pause_limit, 10,
-                 kHourMs, "The longest such pause.");
+  section.Millis("hint_pause_limit_ms", owner.lease.early_acquire_pause_limit,
+                 10, kHourMs, "The longest such pause.");
   section.Millis("reservation_ms", owner.reservation, 10, kHourMs,
                  "A reservation lapses after this unless started.");
   section.Millis("start_lease_ms", owner.start_lease, 10, kHourMs,
--- a/standins/runner/runner_server.cc
+++ b/standins/runner/runner_server.cc
@@ -117,7 +117,7 @@
     }
     if (exchange->request().target == backends::kPingPath) {
       ++pings_;
-      exchange->Respond(backends::EncodePingAnswer(model_.load()));
+      exchange->Respond(backends::EncodePingResponse(model_.load()));
       return;
     }
     const auto refusal = leaf::try_handle_all(
@@ -212,10 +212,10 @@
         Crash();
         return;
       }
-      backends::RunnerAnswer answer{work.behaviour.status,
-                                    std::move(work.request.content_type),
-                                    std::move(work.request.body),
-                                    {}};
+      backends::RunnerResponse answer{work.behaviour.status,
+                                      std::move(work.request.content_type),
+                                      std::move(work.request.body),
+                                      {}};
       if (work.behaviour.answer_bytes) {
         answer.body.assign(*work.behaviour.answer_bytes, 'x');
       }
@@ -231,13 +231,13 @@
   }
 
   void Answer(const http::ExchangePtr& exchange, const base::RequestId& id,
-              backends::RunnerAnswer answer) {
+              backends::RunnerResponse answer) {
     if (fault_ == RunnerFault::kLoseAnswers) {
       held_.push_back(exchange);
       return;
     }
     answer.load = model_.load();
-    exchange->Respond(backends::EncodeRunnerAnswer(id, std::move(answer)));
+    exchange->Respond(backends::EncodeRunnerResponse(id, std::move(answer)));
   }
 
   /// Every connection breaks and all work is gone. The port stays closed until
--- a/standins/worker/worker_model.cc
+++ b/standins/worker/worker_model.cc
@@ -95,7 +95,7 @@
                                             base::TimePoint now) {
   Advance(now);
   if (order.worker_incarnation != incarnation_) {
-    return lifecycle::OtherIncarnation{incarnation_};
+    return lifecycle::IncarnationMismatch{incarnation_};
   }
   if (!NoteEpoch(order.epoch)) return lifecycle::StaleEpoch{epoch_seen_};
   lifecycle::OrderDone done;
--- a/standins/worker/worker_server.cc
+++ b/standins/worker/worker_server.cc
@@ -183,7 +183,7 @@
                [&]() -> leaf::result<http::Response> {
                  BOOST_LEAF_AUTO(
                      order, backends::DecodeOrder(exchange->request().body));
-                 return backends::EncodeOrderAnswer(
+                 return backends::EncodeOrderResponse(
                      model_.Handle(order, loop_->Now()));
                },
                [](const backends::CodecError& error) { return Refusal(error); },
--- a/test/backends/codec_test.cc
+++ b/test/backends/codec_test.cc
@@ -12,7 +12,7 @@
 
 namespace leaf = boost::leaf;
 using lifecycle::OrderDone;
-using lifecycle::OrderUnknown;
+using lifecycle::OrderOutcomeUnknown;
 using lifecycle::TaskKey;
 using lifecycle::TaskReport;
 using lifecycle::WorkerCommand;
@@ -209,30 +209,31 @@
 
 TEST_CASE("answers to an order survive, and nonsense is an unknown outcome") {
   const OrderDone done{{{true, ""}, {false, "overfull"}}};
-  const auto response = EncodeOrderAnswer(done);
-  const auto back = std::get<OrderDone>(DecodeOrderAnswer(response, 2));
+  const auto response = EncodeOrderResponse(done);
+  const auto back = std::get<OrderDone>(DecodeOrderResponse(response, 2));
   CHECK(back.results[0].done);
   CHECK(back.results[1].reason == "overfull");
   // One result too few or too many: nobody can say which command it was.
-  CHECK(std::holds_alternative<OrderUnknown>(DecodeOrderAnswer(response, 1)));
-  CHECK(std::holds_alternative<OrderUnknown>(DecodeOrderAnswer(response, 3)));
+  CHECK(std::holds_alternative<OrderOutcomeUnknown>(
+      DecodeOrderResponse(response, 1)));
+  CHECK(std::holds_alternative<OrderOutcomeUnknown>(
+      DecodeOrderResponse(response, 3)));
 
-  const auto stale = EncodeOrderAnswer(lifecycle::StaleEpoch{9});
+  const auto stale = EncodeOrderResponse(lifecycle::StaleEpoch{9});
   CHECK(stale.status == 409);
-  CHECK(
-      std::get<lifecycle::StaleEpoch>(DecodeOrderAnswer(stale, 2)).epoch_seen ==
-      9);
-  const auto other =
-      EncodeOrderAnswer(lifecycle::OtherIncarnation{base::Incarnation("i2")});
+  CHECK(std::get<lifecycle::StaleEpoch>(DecodeOrderResponse(stale, 2))
+            .epoch_seen == 9);
+  const auto other = EncodeOrderResponse(
+      lifecycle::IncarnationMismatch{base::Incarnation("i2")});
   CHECK(other.status == 412);
-  CHECK(std::get<lifecycle::OtherIncarnation>(DecodeOrderAnswer(other, 2))
+  CHECK(std::get<lifecycle::IncarnationMismatch>(DecodeOrderResponse(other, 2))
             .incarnation.str() == "i2");
 
   for (const int status : {200, 400, 404, 409, 412, 500, 503}) {
     for (const auto* body : {"", "{}", "[]", R"({"results":"x"})"}) {
       const http::Response nonsense{status, {}, body};
-      CHECK(
-          std::holds_alternative<OrderUnknown>(DecodeOrderAnswer(nonsense, 2)));
+      CHECK(std::holds_alternative<OrderOutcomeUnknown>(
+          DecodeOrderResponse(nonsense, 2)));
     }
   }
 }
@@ -265,8 +266,8 @@
   const base::RequestId mine("mine");
   const RunnerLoad load{8, 3, 2, true};
 
-  const auto answer = std::get<RunnerAnswer>(DecodeRunnerResponse(
-      mine, EncodeRunnerAnswer(mine, {418, "x/y", "body", load})));
+  const auto answer = std::get<RunnerResponse>(DecodeRunnerResponse(
+      mine, EncodeRunnerResponse(mine, {418, "x/y", "body", load})));
   CHECK(answer.status == 418);
   CHECK(answer.content_type == "x/y");
   CHECK(answer.body == "body");
@@ -280,27 +281,28 @@
 
   // Another request's answer, even a refusal, says nothing of this one.
   const base::RequestId other("other");
-  CHECK(std::holds_alternative<RunnerLost>(DecodeRunnerResponse(
-      mine, EncodeRunnerAnswer(other, {200, "", "", load}))));
-  CHECK(std::holds_alternative<RunnerLost>(
+  CHECK(std::holds_alternative<RunnerResponseLost>(DecodeRunnerResponse(
+      mine, EncodeRunnerResponse(other, {200, "", "", load}))));
+  CHECK(std::holds_alternative<RunnerResponseLost>(
       DecodeRunnerResponse(mine, EncodeRunnerRefusal(other, {"", load}))));
-  CHECK(std::holds_alternative<RunnerLost>(
+  CHECK(std::holds_alternative<RunnerResponseLost>(
       DecodeRunnerResponse(mine, http::Response{200, {}, "body"})));
 
   // A 503 without the runner's own word may have run.
-  http::Response bare = EncodeRunnerAnswer(mine, {503, "", "busy", load});
-  CHECK(std::get<RunnerAnswer>(DecodeRunnerResponse(mine, bare)).status == 503);
+  http::Response bare = EncodeRunnerResponse(mine, {503, "", "busy", load});
+  CHECK(std::get<RunnerResponse>(DecodeRunnerResponse(mine, bare)).status ==
+        503);
 }
 
 TEST_CASE("a ping's answer carries the load, and anything else is no answer") {
   const auto load = std::get<RunnerLoad>(
-      DecodePingAnswer(EncodePingAnswer({8, 1, 0, false})));
+      DecodePingResponse(EncodePingResponse({8, 1, 0, false})));
   CHECK(load.slots == 8);
   CHECK(load.busy_slots == 1);
   CHECK(std::holds_alternative<RunnerNotReached>(
-      DecodePingAnswer(http::Response{200, {}, "hello"})));
+      DecodePingResponse(http::Response{200, {}, "hello"})));
   CHECK(std::holds_alternative<RunnerNotReached>(
-      DecodePingAnswer(http::Response{404, {}, ""})));
+      DecodePingResponse(http::Response{404, {}, ""})));
 }
 
 }  // namespace
--- a/test/backends/runner_health_test.cc
+++ b/test/backends/runner_health_test.cc
@@ -55,18 +55,18 @@
 
 TEST_CASE("a silent connection condemns itself and not the runner") {
   Watch it;
-  it.monitor.Lost(it.endpoint);
+  it.monitor.RecordFailure(it.endpoint);
   CHECK(it.monitor.state(it.endpoint) == RunnerState::kSuspect);
   it.time.RunFor(Duration(10));
-  CHECK(it.monitor.state(it.endpoint) == RunnerState::kWorking);
+  CHECK(it.monitor.state(it.endpoint) == RunnerState::kHealthy);
   CHECK(it.changes ==
-        std::vector{RunnerState::kSuspect, RunnerState::kWorking});
+        std::vector{RunnerState::kSuspect, RunnerState::kHealthy});
 }
 
 TEST_CASE("a runner whose fresh connections fail too is condemned in time") {
   Watch it;
   it.runner.answers = false;
-  it.monitor.Lost(it.endpoint);
+  it.monitor.RecordFailure(it.endpoint);
   it.time.RunFor(Duration(599));
   CHECK(it.monitor.state(it.endpoint) == RunnerState::kSuspect);
   it.time.RunFor(Duration(1));
@@ -91,7 +91,7 @@
   it.runner.answers = true;
   // The pause between pings never exceeds the limit of 5 s.
   it.time.RunFor(Duration(5'400));
-  CHECK(it.monitor.state(it.endpoint) == RunnerState::kWorking);
+  CHECK(it.monitor.state(it.endpoint) == RunnerState::kHealthy);
 }
 
 TEST_CASE("pings of a dead runner become rare") {
@@ -108,7 +108,7 @@
   Watch it;
   const int before = it.runner.pings;
   for (int i = 0; i < 100; ++i) {
-    it.monitor.Answered(it.endpoint);
+    it.monitor.RecordResponse(it.endpoint);
     it.time.RunFor(Duration(500));
   }
   CHECK(it.runner.pings == before);
@@ -116,15 +116,15 @@
 
 TEST_CASE("a late failed ping does not undo an answer that came meanwhile") {
   RunnerHealth health({}, base::TimePoint(Duration(0)));
-  health.PingSent();
-  health.Answered(base::TimePoint(Duration(100)));
-  health.PingFailed(base::TimePoint(Duration(300)));
-  CHECK(health.state() == RunnerState::kWorking);
+  health.RecordPingSent();
+  health.RecordResponse(base::TimePoint(Duration(100)));
+  health.RecordPingFailure(base::TimePoint(Duration(300)));
+  CHECK(health.state() == RunnerState::kHealthy);
 }
 
 TEST_CASE("an unwatched runner is neither pinged nor told of") {
   Watch it;
-  it.monitor.Lost(it.endpoint);
+  it.monitor.RecordFailure(it.endpoint);
   it.changes.clear();
   it.monitor.Unwatch(it.endpoint);
   const int before = it.runner.pings;
@@ -142,7 +142,7 @@
   it.monitor.Watch(it.endpoint);
   it.runner.answers = true;
   it.time.RunFor(Duration(5'000));
-  CHECK(it.monitor.state(it.endpoint) == RunnerState::kWorking);
+  CHECK(it.monitor.state(it.endpoint) == RunnerState::kHealthy);
   CHECK(it.changes.empty());
 }
 
--- a/test/lifecycle/cell_lease_test.cc
+++ b/test/lifecycle/cell_lease_test.cc
@@ -20,8 +20,8 @@
 
 /// A lease with its clock.
 struct Fixture {
-  CellLease lease{kSelf, "10.0.0.1:1", LeaseTimes()};
-  LeaseTimes times;
+  CellLease lease{kSelf, "10.0.0.1:1", LeaseTiming()};
+  LeaseTiming times;
   base::TimePoint now{Duration(100'000)};
   std::uint64_t version = 0;
 
@@ -32,7 +32,7 @@
   /// The next step that is due in time.
   std::vector<LeaseCommand> Wake() {
     now = std::max(now, lease.wake_at());
-    return Tell(LeaseTime{});
+    return Tell(LeaseTimerFired{});
   }
 
   RowRead RowOf(const base::Incarnation& holder, std::uint64_t at) const {
@@ -47,9 +47,9 @@
     REQUIRE(Find<ReadRow>(lease.Begin(now)));
     const auto out = Tell(RowRead{});
     REQUIRE(Find<WriteRow>(out));
-    REQUIRE(Find<WriteRow>(out)->take);
+    REQUIRE(Find<WriteRow>(out)->acquire);
     version = 1;
-    const auto granted = Tell(LeaseWritten{1, 1});
+    const auto granted = Tell(RowWritten{1, 1});
     REQUIRE(Find<LeaseGranted>(granted));
   }
 
@@ -81,10 +81,10 @@
   it.lease.Begin(it.now);
   std::vector<LeaseCommand> out;
   const auto waited = it.WatchUnchanged(&out);
-  CHECK(waited >= it.times.length + it.times.margin);
-  REQUIRE(Find<AskHolder>(out));
-  CHECK(Find<AskHolder>(out)->holder == kOther);
-  CHECK(Find<WriteRow>(it.Tell(HolderSilent{})));
+  CHECK(waited >= it.times.duration + it.times.clock_drift_margin);
+  REQUIRE(Find<QueryHolder>(out));
+  CHECK(Find<QueryHolder>(out)->holder == kOther);
+  CHECK(Find<WriteRow>(it.Tell(HolderTimedOut{})));
 }
 
 TEST_CASE("a holder that answers keeps the cell") {
@@ -92,10 +92,10 @@
   it.lease.Begin(it.now);
   std::vector<LeaseCommand> out;
   it.WatchUnchanged(&out);
-  REQUIRE(Find<AskHolder>(out));
+  REQUIRE(Find<QueryHolder>(out));
   CHECK(it.Tell(HolderAnswered{HolderState::kHolding}).empty());
   REQUIRE(Find<ReadRow>(it.Wake()));
-  CHECK(it.WatchUnchanged(&out) >= it.times.length);
+  CHECK(it.WatchUnchanged(&out) >= it.times.duration);
 }
 
 TEST_CASE("a holder that misses only the table is spared once") {
@@ -106,7 +106,7 @@
   CHECK(it.Tell(HolderAnswered{HolderState::kHoldingWithoutTable}).empty());
   REQUIRE(Find<ReadRow>(it.Wake()));
   it.WatchUnchanged(&out);
-  REQUIRE(Find<AskHolder>(out));
+  REQUIRE(Find<QueryHolder>(out));
   const auto second =
       it.Tell(HolderAnswered{HolderState::kHoldingWithoutTable});
   CHECK(Find<WriteRow>(second));
@@ -122,15 +122,16 @@
   it.Tell(RowReadFailed{});
   REQUIRE(Find<ReadRow>(it.Wake()));
   std::vector<LeaseCommand> out;
-  CHECK(it.WatchUnchanged(&out) >= it.times.length + it.times.margin);
+  CHECK(it.WatchUnchanged(&out) >=
+        it.times.duration + it.times.clock_drift_margin);
 }
 
 TEST_CASE("a candidate that was paused begins the wait anew") {
   Fixture it;
   it.lease.Begin(it.now);
   it.Tell(it.RowOf(kOther, 5));
-  it.now += it.times.length * 3;
-  REQUIRE(Find<ReadRow>(it.Tell(LeaseTime{})));
+  it.now += it.times.duration * 3;
+  REQUIRE(Find<ReadRow>(it.Tell(LeaseTimerFired{})));
   CHECK(it.Tell(it.RowOf(kOther, 5)).empty());
 }
 
@@ -138,13 +139,13 @@
   Fixture it;
   it.lease.Begin(it.now);
   auto row = it.RowOf(kOther, 5);
-  row.doubt = HolderDoubt::kSuspect;
-  REQUIRE(Find<AskHolder>(it.Tell(row)));
-  const auto take = it.Tell(HolderRefused{});
+  row.suspicion = HolderSuspicion::kSuspect;
+  REQUIRE(Find<QueryHolder>(it.Tell(row)));
+  const auto take = it.Tell(HolderConnectionRefused{});
   REQUIRE(Find<WriteRow>(take));
   CHECK(Find<WriteRow>(take)->row_version == 5);
-  CHECK(it.Tell(LeaseConflict{}).empty());
-  CHECK(it.lease.wake_at() - it.now == it.times.read_every);
+  CHECK(it.Tell(RowWriteConflict{}).empty());
+  CHECK(it.lease.wake_at() - it.now == it.times.read_interval);
   REQUIRE(Find<ReadRow>(it.Wake()));
 }
 
@@ -153,25 +154,25 @@
   it.lease.Begin(it.now);
   const auto from = it.now;
   auto row = it.RowOf(kOther, 5);
-  row.doubt = HolderDoubt::kSuspect;
+  row.suspicion = HolderSuspicion::kSuspect;
   auto out = it.Tell(row);
   while (!Find<WriteRow>(out)) {
-    REQUIRE(it.now - from < it.times.length * 2);
-    if (Find<AskHolder>(out)) {
+    REQUIRE(it.now - from < it.times.duration * 2);
+    if (Find<QueryHolder>(out)) {
       it.now += Duration(500);
-      out = it.Tell(HolderSilent{});
+      out = it.Tell(HolderTimedOut{});
     } else if (Find<ReadRow>(out)) {
       out = it.Tell(row);
     } else {
       out = it.Wake();
     }
   }
-  const auto lapse = it.times.length + it.times.margin;
+  const auto lapse = it.times.duration + it.times.clock_drift_margin;
   CHECK(it.now - from >= lapse);
-  CHECK(it.now - from <= lapse + it.times.read_every);
-  const auto granted = it.Tell(LeaseWritten{6, 2});
+  CHECK(it.now - from <= lapse + it.times.read_interval);
+  const auto granted = it.Tell(RowWritten{6, 2});
   REQUIRE(Find<LeaseGranted>(granted));
-  CHECK(Find<LeaseGranted>(granted)->reason == TakeReason::kLapsed);
+  CHECK(Find<LeaseGranted>(granted)->reason == AcquireReason::kExpired);
 }
 
 /// A candidate under a short lease, which asks a doubted holder that takes
@@ -180,16 +181,16 @@
   static constexpr Duration kSilence{1'500};
 
   SlowAskFixture() {
-    times.length = Duration(2'000);
-    times.margin = Duration(300);
-    times.read_every = Duration(300);
+    times.duration = Duration(2'000);
+    times.clock_drift_margin = Duration(300);
+    times.read_interval = Duration(300);
     lease = CellLease(kSelf, "10.0.0.1:1", times);
     lease.Begin(now);
   }
 
   RowRead Doubted(std::uint64_t at) const {
     auto row = RowOf(kOther, at);
-    row.doubt = HolderDoubt::kDead;
+    row.suspicion = HolderSuspicion::kDead;
     return row;
   }
 
@@ -201,7 +202,7 @@
       if (Find<ReadRow>(Wake())) Tell(Doubted(at));
     }
     now = end;
-    return Tell(HolderSilent{});
+    return Tell(HolderTimedOut{});
   }
 };
 
@@ -210,8 +211,8 @@
   const auto from = it.now;
   auto out = it.Tell(it.Doubted(5));
   while (!Find<WriteRow>(out)) {
-    REQUIRE(it.now - from < it.times.length * 3);
-    if (Find<AskHolder>(out)) {
+    REQUIRE(it.now - from < it.times.duration * 3);
+    if (Find<QueryHolder>(out)) {
       out = it.StaySilent(5);
     } else if (Find<ReadRow>(out)) {
       out = it.Tell(it.Doubted(5));
@@ -219,7 +220,7 @@
       out = it.Wake();
     }
   }
-  CHECK(it.now - from >= it.times.length + it.times.margin);
+  CHECK(it.now - from >= it.times.duration + it.times.clock_drift_margin);
 }
 
 TEST_CASE("a renewal while the holder is asked keeps the cell") {
@@ -228,9 +229,9 @@
   const auto from = it.now;
   std::uint64_t version = 5;
   // The holder answers nobody but renews: each question sees another version.
-  while (it.now - from < it.times.length * 5) {
+  while (it.now - from < it.times.duration * 5) {
     REQUIRE_FALSE(Find<WriteRow>(out));
-    if (Find<AskHolder>(out)) {
+    if (Find<QueryHolder>(out)) {
       out = it.StaySilent(++version);
     } else if (Find<ReadRow>(out)) {
       out = it.Tell(it.Doubted(version));
@@ -246,9 +247,9 @@
   for (int i = 0; i < 10; ++i) {
     const auto out = it.Wake();
     REQUIRE(Find<WriteRow>(out));
-    CHECK_FALSE(Find<WriteRow>(out)->take);
+    CHECK_FALSE(Find<WriteRow>(out)->acquire);
     CHECK(Find<WriteRow>(out)->row_version == it.version);
-    it.Tell(LeaseWritten{++it.version, 0});
+    it.Tell(RowWritten{++it.version, 0});
     CHECK(it.lease.MayAct(it.now));
   }
 }
@@ -256,10 +257,10 @@
 TEST_CASE("a holder that was paused past its lease may not act") {
   Fixture it;
   it.Take();
-  it.now += it.times.length + Duration(1);
+  it.now += it.times.duration + Duration(1);
   CHECK_FALSE(it.lease.MayAct(it.now));
   // Whatever it hears first.
-  CHECK(Find<LeaseLost>(it.Tell(LeaseUnknown{})));
+  CHECK(Find<LeaseLost>(it.Tell(RowWriteUnknown{})));
   CHECK(it.lease.state(it.now) == HolderState::kNotHolding);
 }
 
@@ -268,12 +269,12 @@
   it.Take();
   for (int i = 0; i < 100; ++i) {
     REQUIRE(Find<WriteRow>(it.Wake()));
-    CHECK(it.Tell(LeaseNotWritten{}).empty());
+    CHECK(it.Tell(RowWriteFailed{}).empty());
     CHECK(it.lease.MayAct(it.now));
     CHECK(it.lease.state(it.now) == HolderState::kHoldingWithoutTable);
   }
   // But not when it was paused meanwhile.
-  it.now += it.times.length + Duration(1);
+  it.now += it.times.duration + Duration(1);
   CHECK_FALSE(it.lease.MayAct(it.now));
 }
 
@@ -282,7 +283,7 @@
   it.Take();
   const auto renewal = it.Wake();
   REQUIRE(Find<WriteRow>(renewal));
-  REQUIRE(Find<ReadRow>(it.Tell(LeaseUnknown{})));
+  REQUIRE(Find<ReadRow>(it.Tell(RowWriteUnknown{})));
   RowRead read;
   read.row = Find<WriteRow>(renewal)->row;
   read.row_version = 2;
@@ -307,7 +308,7 @@
   it.lease.Begin(it.now);
   const auto take = it.Tell(RowRead{});
   REQUIRE(Find<WriteRow>(take));
-  REQUIRE(Find<ReadRow>(it.Tell(LeaseUnknown{})));
+  REQUIRE(Find<ReadRow>(it.Tell(RowWriteUnknown{})));
   RowRead read;
   read.row = Find<WriteRow>(take)->row;
   read.row_version = 1;
@@ -327,7 +328,7 @@
 TEST_CASE("a refused epoch ends the lease, and the next take goes above it") {
   Fixture it;
   it.Take();
-  CHECK(Find<LeaseLost>(it.Tell(EpochRefused{20})));
+  CHECK(Find<LeaseLost>(it.Tell(EpochRejected{20})));
   REQUIRE(Find<ReadRow>(it.Wake()));
   const auto out = it.Tell(it.RowOf(base::Incarnation(), 9));
   REQUIRE(Find<WriteRow>(out));
@@ -337,19 +338,19 @@
 TEST_CASE("a planned stop empties the row") {
   Fixture it;
   it.Take();
-  const auto out = it.Tell(ReleaseAsked{});
+  const auto out = it.Tell(ReleaseRequested{});
   REQUIRE(Find<WriteRow>(out));
   CHECK(Find<WriteRow>(out)->row.holder.empty());
   CHECK_FALSE(it.lease.MayAct(it.now));
-  CHECK(Find<LeaseReleased>(it.Tell(LeaseWritten{2, 0})));
+  CHECK(Find<LeaseReleased>(it.Tell(RowWritten{2, 0})));
 }
 
 TEST_CASE("a planned stop waits for the renewal under way") {
   Fixture it;
   it.Take();
   REQUIRE(Find<WriteRow>(it.Wake()));
-  CHECK(it.Tell(ReleaseAsked{}).empty());
-  const auto out = it.Tell(LeaseWritten{2, 0});
+  CHECK(it.Tell(ReleaseRequested{}).empty());
+  const auto out = it.Tell(RowWritten{2, 0});
   REQUIRE(Find<WriteRow>(out));
   CHECK(Find<WriteRow>(out)->row.holder.empty());
   CHECK(Find<WriteRow>(out)->row_version == 2);
--- a/test/lifecycle/gang_machine_test.cc
+++ b/test/lifecycle/gang_state_machine_test.cc
@@ -19,8 +19,9 @@
 }
 
 /// A machine of `tasks` members, driven up to the given phase.
-GangMachine MachineIn(GangPhase phase, int tasks, bool can_checkpoint = true) {
-  GangMachine machine(tasks, can_checkpoint, GangTimes());
+GangStateMachine MachineIn(GangPhase phase, int tasks,
+                           bool can_checkpoint = true) {
+  GangStateMachine machine(tasks, can_checkpoint, GangTimeouts());
   machine.Begin(kStart);
   if (phase == GangPhase::kReserving) return machine;
   for (int i = 0; i < tasks; ++i) machine.Handle(MemberReserved{i}, kStart);
@@ -29,12 +30,12 @@
   if (phase == GangPhase::kStarting) return machine;
   for (int i = 0; i < tasks; ++i) machine.Handle(MemberStarted{i}, kStart);
   if (phase == GangPhase::kRunning) return machine;
-  machine.Handle(EvictAsked{"owed"}, kStart);
+  machine.Handle(EvictRequested{"owed"}, kStart);
   return machine;
 }
 
 TEST_CASE("a gang starts only when all are reserved and it is recorded") {
-  GangMachine machine(2, false, GangTimes());
+  GangStateMachine machine(2, false, GangTimeouts());
   CHECK(Find<ReserveMembers>(machine.Begin(kStart)));
   CHECK(machine.Handle(MemberReserved{0}, kStart).empty());
   CHECK(Find<RecordIntent>(machine.Handle(MemberReserved{1}, kStart)));
@@ -45,7 +46,7 @@
   machine.Handle(MemberFinished{0}, kStart);
   const auto last = machine.Handle(MemberFinished{1}, kStart);
   REQUIRE(Find<GangEnded>(last));
-  CHECK(Find<GangEnded>(last)->end == GangEnd::kFinished);
+  CHECK(Find<GangEnded>(last)->outcome == GangOutcome::kFinished);
 }
 
 TEST_CASE("a missing reservation releases all, and the job was not run") {
@@ -55,9 +56,9 @@
   machine.Handle(MemberGone{0}, kStart);
   const auto last = machine.Handle(MemberGone{2}, kStart);
   REQUIRE(Find<GangEnded>(last));
-  CHECK(Find<GangEnded>(last)->end == GangEnd::kBroken);
+  CHECK(Find<GangEnded>(last)->outcome == GangOutcome::kAborted);
   CHECK_FALSE(Find<GangEnded>(last)->may_have_run);
-  CHECK(Find<GangEnded>(last)->culprit == 1);
+  CHECK(Find<GangEnded>(last)->failed_member == 1);
 }
 
 TEST_CASE("a member lost in any phase stops the whole gang at once") {
@@ -84,8 +85,8 @@
     auto machine = MachineIn(phase, 2);
     REQUIRE(machine.wake_at());
     const auto due = *machine.wake_at();
-    CHECK(machine.Handle(GangTime{}, due - base::Duration(1)).empty());
-    CHECK(Find<StopMembers>(machine.Handle(GangTime{}, due)));
+    CHECK(machine.Handle(GangTimerFired{}, due - base::Duration(1)).empty());
+    CHECK(Find<StopMembers>(machine.Handle(GangTimerFired{}, due)));
   }
 }
 
@@ -96,7 +97,7 @@
   machine.Handle(MemberGone{0}, kStart);
   const auto last = machine.Handle(MemberGone{1}, kStart);
   REQUIRE(Find<GangEnded>(last));
-  CHECK(Find<GangEnded>(last)->end == GangEnd::kEvicted);
+  CHECK(Find<GangEnded>(last)->outcome == GangOutcome::kEvicted);
   CHECK(Find<GangEnded>(last)->checkpoints.empty());
 }
 
@@ -108,15 +109,15 @@
 }
 
 TEST_CASE("an adopted gang goes on whole or stops") {
-  GangMachine whole(2, false, GangTimes());
+  GangStateMachine whole(2, false, GangTimeouts());
   whole.Adopt({MemberState::kRunning, MemberState::kFinished}, kStart);
   CHECK(whole.phase() == GangPhase::kRunning);
 
-  GangMachine part(2, false, GangTimes());
+  GangStateMachine part(2, false, GangTimeouts());
   CHECK(Find<StopMembers>(
       part.Adopt({MemberState::kRunning, MemberState::kReserved}, kStart)));
 
-  GangMachine unstarted(2, false, GangTimes());
+  GangStateMachine unstarted(2, false, GangTimeouts());
   const auto out =
       unstarted.Adopt({MemberState::kGone, MemberState::kGone}, kStart);
   REQUIRE(Find<GangEnded>(out));
@@ -145,20 +146,21 @@
     case 8:
       return IntentRecorded{};
     case 9:
-      return IntentRefused{"no"};
+      return IntentNotRecorded{"no"};
     case 10:
-      return EvictAsked{"owed"};
+      return EvictRequested{"owed"};
     case 11:
-      return CancelAsked{"asked"};
+      return CancelRequested{"asked"};
     default:
-      return GangTime{};
+      return GangTimerFired{};
   }
 }
 
 TEST_CASE("whatever comes in whatever order, the protocol is kept") {
   const bool ok = rc::check("gang protocol", [] {
     const int tasks = *rc::gen::inRange(1, 4);
-    GangMachine machine(tasks, *rc::gen::arbitrary<bool>(), GangTimes());
+    GangStateMachine machine(tasks, *rc::gen::arbitrary<bool>(),
+                             GangTimeouts());
     auto now = kStart;
     bool recorded = false;
     int starts = 0;
@@ -180,8 +182,8 @@
           ++ends;
           // A gang whose start was never sent cannot be said to have run,
           // unless a worker itself says that a member finished.
-          if (starts == 0 && end->end != GangEnd::kFinished) {
-            RC_ASSERT(machine.phase() == GangPhase::kOver);
+          if (starts == 0 && end->outcome != GangOutcome::kFinished) {
+            RC_ASSERT(machine.phase() == GangPhase::kEnded);
           }
         }
       }
--- a/test/scheduler/takeover_hint_test.cc
+++ b/test/scheduler/takeover_hint_test.cc
@@ -8,8 +8,8 @@
 namespace {
 
 using config::JobPhase;
-using lifecycle::HolderDoubt;
-using lifecycle::TakeReason;
+using lifecycle::AcquireReason;
+using lifecycle::HolderSuspicion;
 
 constexpr base::Duration kSecond{1'000};
 constexpr base::Duration kMinute{60'000};
@@ -35,7 +35,7 @@
     rig.time.RunFor(kSecond * 5);
   }
 
-  void Doubt(const RigProcess& process, HolderDoubt doubt) {
+  void Doubt(const RigProcess& process, HolderSuspicion doubt) {
     rig.owners.SetDoubt(process.endpoint, doubt);
     for (const auto& it : others) it->owner->CheckNow();
   }
@@ -69,14 +69,14 @@
   Hinted it(3);
   const auto first = it.owner->owner->Status().holder;
   it.rig.Kill(it.owner);
-  it.Doubt(*it.others[0], HolderDoubt::kNone);
+  it.Doubt(*it.others[0], HolderSuspicion::kNone);
   CHECK(it.TakenOver(kSecond) == nullptr);
-  it.rig.owners.SetDoubt({"10.0.1.1", 9'001}, HolderDoubt::kSuspect);
+  it.rig.owners.SetDoubt({"10.0.1.1", 9'001}, HolderSuspicion::kSuspect);
   for (const auto& other : it.others) other->owner->CheckNow();
   const auto* taker = it.TakenOver(base::Duration(200));
   REQUIRE(taker != nullptr);
   const auto status = taker->owner->Status();
-  CHECK(status.taken == TakeReason::kRefused);
+  CHECK(status.taken == AcquireReason::kConnectionRefused);
   CHECK(status.taken_from == first);
   it.rig.time.RunFor(kMinute);
   CHECK(taker->owner->Status().epoch == 2);
@@ -84,23 +84,23 @@
 }
 
 TEST_CASE("what the group, the holder and the table say decides together") {
-  for (const auto doubt :
-       {HolderDoubt::kNone, HolderDoubt::kSuspect, HolderDoubt::kDead}) {
+  for (const auto doubt : {HolderSuspicion::kNone, HolderSuspicion::kSuspect,
+                           HolderSuspicion::kDead}) {
     for (const bool silent : {false, true}) {
       for (const bool renews : {false, true}) {
         CAPTURE(base::NameOf(doubt), silent, renews);
         Hinted it(2);
         // Cut from one candidate, or from both: a domain in halves.
         it.others[0]->probe.SetCut(silent);
-        it.others[1]->probe.SetCut(silent && doubt == HolderDoubt::kDead);
+        it.others[1]->probe.SetCut(silent && doubt == HolderSuspicion::kDead);
         it.owner->table_view.SetCut(!renews);
         it.Doubt(*it.owner, doubt);
         const auto* taker = it.TakenOver(kSecond * 8);
         const bool all_say_so =
-            doubt == HolderDoubt::kDead && silent && !renews;
+            doubt == HolderSuspicion::kDead && silent && !renews;
         CHECK((taker != nullptr) == all_say_so);
         if (taker != nullptr) {
-          CHECK(taker->owner->Status().taken == TakeReason::kSilent);
+          CHECK(taker->owner->Status().taken == AcquireReason::kHolderTimedOut);
         }
         it.rig.time.RunFor(kMinute);
         if (renews) CHECK(it.owner->owner->Status().epoch == 1);
@@ -115,12 +115,12 @@
   it.rig.owners.Vanish(it.owner->endpoint);
   const auto endpoint = it.owner->endpoint;
   it.rig.Kill(it.owner);
-  it.rig.owners.SetDoubt(endpoint, HolderDoubt::kSuspect);
+  it.rig.owners.SetDoubt(endpoint, HolderSuspicion::kSuspect);
   CHECK(it.TakenOver(kSecond * 3) == nullptr);
-  it.rig.owners.SetDoubt(endpoint, HolderDoubt::kDead);
+  it.rig.owners.SetDoubt(endpoint, HolderSuspicion::kDead);
   const auto* taker = it.TakenOver(kSecond * 5);
   REQUIRE(taker != nullptr);
-  CHECK(taker->owner->Status().taken == TakeReason::kSilent);
+  CHECK(taker->owner->Status().taken == AcquireReason::kHolderTimedOut);
   CHECK(it.IsMapUnharmed());
 }
 
@@ -133,16 +133,17 @@
       it.rig.feed.Accept(it.rig.Job("claim", 3, 8, false));
       it.rig.time.RunFor(base::Duration(pause_at_ms));
       it.owner->loop.Pause();
-      it.Doubt(*it.owner, HolderDoubt::kDead);
+      it.Doubt(*it.owner, HolderSuspicion::kDead);
       // Not even its workers know of the new owner.
       it.others[0]->workers_view.SetCut(!reached);
       const auto is_taken = [&] {
         return it.others[0]->owner->Status().phase != OwnerPhase::kCandidate;
       };
       REQUIRE(it.rig.time.RunUntil(is_taken, kSecond * 8));
-      CHECK(it.others[0]->owner->Status().taken == TakeReason::kSilent);
+      CHECK(it.others[0]->owner->Status().taken ==
+            AcquireReason::kHolderTimedOut);
       it.owner->loop.Resume();
-      it.Doubt(*it.owner, HolderDoubt::kNone);
+      it.Doubt(*it.owner, HolderSuspicion::kNone);
       it.rig.time.RunFor(kSecond * 10);
       CHECK(it.owner->owner->Status().phase == OwnerPhase::kCandidate);
       it.others[0]->workers_view.SetCut(false);
@@ -160,7 +161,7 @@
 
 TEST_CASE("a doubted owner that answers keeps its cell over an outage") {
   Hinted it(2);
-  it.Doubt(*it.owner, HolderDoubt::kDead);
+  it.Doubt(*it.owner, HolderSuspicion::kDead);
   it.rig.table.SetDown(true);
   it.rig.time.RunFor(kMinute * 5);
   it.rig.table.SetDown(false);
@@ -173,7 +174,7 @@
   Hinted it(2);
   it.rig.table.SetCommitFault(
       [](const auto&) { return fakes::TableFault::kSlow; });
-  it.Doubt(*it.owner, HolderDoubt::kDead);
+  it.Doubt(*it.owner, HolderSuspicion::kDead);
   it.rig.time.RunFor(kMinute * 10);
   CHECK(it.owner->owner->Status().epoch == 1);
   CHECK(it.IsMapUnharmed());
@@ -185,7 +186,7 @@
   it.others.push_back(std::move(it.owner));
   for (const auto& other : it.others) {
     it.rig.owners.Remove(other->endpoint);
-    it.Doubt(*other, HolderDoubt::kDead);
+    it.Doubt(*other, HolderSuspicion::kDead);
   }
   for (int minute = 0; minute < 60; ++minute) {
     it.rig.time.RunFor(kMinute);
@@ -204,7 +205,7 @@
   Hinted it(2);
   const auto first = it.owner->endpoint;
   it.rig.Kill(it.owner);
-  it.rig.owners.SetDoubt(first, HolderDoubt::kSuspect);
+  it.rig.owners.SetDoubt(first, HolderSuspicion::kSuspect);
   REQUIRE(it.TakenOver(kSecond * 3) != nullptr);
   const bool is_first = it.others[0]->owner->Status().epoch == 2;
   auto second = std::move(it.others[is_first ? 0 : 1]);
@@ -212,11 +213,11 @@
   const auto endpoint = second->endpoint;
   it.rig.time.RunFor(kSecond * 3);
   it.rig.Kill(second);
-  it.rig.owners.SetDoubt(endpoint, HolderDoubt::kSuspect);
+  it.rig.owners.SetDoubt(endpoint, HolderSuspicion::kSuspect);
   CHECK(it.TakenOver(kSecond * 7) == nullptr);
   const auto* taker = it.TakenOver(kByLease);
   REQUIRE(taker != nullptr);
-  CHECK(taker->owner->Status().taken == TakeReason::kLapsed);
+  CHECK(taker->owner->Status().taken == AcquireReason::kExpired);
   CHECK(it.IsMapUnharmed());
 }
 
--- a/test/scheduler/wire_owner_probe_test.cc
+++ b/test/scheduler/wire_owner_probe_test.cc
@@ -130,17 +130,18 @@
   };
   auto& time = world.group.time();
   time.RunFor(Duration(3'000));
-  CHECK(doubt(identity.incarnation) == lifecycle::HolderDoubt::kNone);
+  CHECK(doubt(identity.incarnation) == lifecycle::HolderSuspicion::kNone);
   // Another life at the address is present.
-  CHECK(doubt(base::Incarnation("old")) == lifecycle::HolderDoubt::kSuspect);
+  CHECK(doubt(base::Incarnation("old")) ==
+        lifecycle::HolderSuspicion::kSuspect);
   world.holder.Kill();
-  const auto becomes = [&](lifecycle::HolderDoubt wanted) {
+  const auto becomes = [&](lifecycle::HolderSuspicion wanted) {
     return time.RunUntil([&] { return doubt(identity.incarnation) == wanted; },
                          Duration(10'000));
   };
-  CHECK(becomes(lifecycle::HolderDoubt::kSuspect));
-  CHECK(becomes(lifecycle::HolderDoubt::kDead));
-  CHECK(doubt(base::Incarnation("old")) == lifecycle::HolderDoubt::kNone);
+  CHECK(becomes(lifecycle::HolderSuspicion::kSuspect));
+  CHECK(becomes(lifecycle::HolderSuspicion::kDead));
+  CHECK(doubt(base::Incarnation("old")) == lifecycle::HolderSuspicion::kNone);
 }
 
 }  // namespace
--- a/test/standins/servers_test.cc
+++ b/test/standins/servers_test.cc
@@ -13,11 +13,11 @@
 namespace lapishatch::standins {
 namespace {
 
-using backends::RunnerAnswer;
-using backends::RunnerLost;
 using backends::RunnerNotReached;
 using backends::RunnerOutcome;
 using backends::RunnerRefused;
+using backends::RunnerResponse;
+using backends::RunnerResponseLost;
 using base::Duration;
 
 constexpr std::chrono::seconds kLimit{20};
@@ -112,7 +112,7 @@
 TEST_CASE("a runner's whole answer comes back, byte for byte") {
   RunnerBench it;
   const std::string body("a\0b\r\n\xff", 6);
-  const auto answer = std::get<RunnerAnswer>(it.Send(body));
+  const auto answer = std::get<RunnerResponse>(it.Send(body));
   CHECK(answer.status == 200);
   CHECK(answer.body == body);
   CHECK(answer.load.slots == 8);
@@ -149,7 +149,7 @@
   CHECK(std::holds_alternative<RunnerNotReached>(it.Ping()));
   CHECK(it.log.total() == 0);
   it.Fault(RunnerFault::kNone);
-  Until<RunnerAnswer>([&] { return it.Send("x"); });
+  Until<RunnerResponse>([&] { return it.Send("x"); });
   CHECK(it.log.total() == 1);
 }
 
@@ -157,28 +157,28 @@
     "after a byte was sent a lost answer is lost, whether it ran or not") {
   RunnerBench it;
   it.Fault(RunnerFault::kLoseAnswers);
-  const auto lost = std::get<RunnerLost>(it.Send("ran", Duration(300)));
+  const auto lost = std::get<RunnerResponseLost>(it.Send("ran", Duration(300)));
   CHECK(lost.timed_out);
   CHECK(it.log.RunsOfBody("ran") == 1);
   it.Fault(RunnerFault::kNone);
   it.Fault(RunnerFault::kSilent);
-  CHECK(std::get<RunnerLost>(it.Send("not", Duration(300))).timed_out);
+  CHECK(std::get<RunnerResponseLost>(it.Send("not", Duration(300))).timed_out);
   CHECK(it.log.RunsOfBody("not") == 0);
   it.Fault(RunnerFault::kNone);
   it.Fault(RunnerFault::kCrashBefore);
-  CHECK(std::holds_alternative<RunnerLost>(it.Send("before")));
+  CHECK(std::holds_alternative<RunnerResponseLost>(it.Send("before")));
   CHECK(it.log.RunsOfBody("before") == 0);
   it.Fault(RunnerFault::kNone);
   Until<backends::RunnerLoad>([&] { return it.Ping(); });
   it.Fault(RunnerFault::kCrashAfter);
-  CHECK(std::holds_alternative<RunnerLost>(it.Send("after")));
+  CHECK(std::holds_alternative<RunnerResponseLost>(it.Send("after")));
   CHECK(it.log.RunsOfBody("after") == 1);
 }
 
 TEST_CASE("a runner that fails everything quickly is run and answered") {
   RunnerBench it;
   it.Fault(RunnerFault::kFailFast);
-  CHECK(std::get<RunnerAnswer>(it.Send("x")).status == 500);
+  CHECK(std::get<RunnerResponse>(it.Send("x")).status == 500);
   CHECK(it.log.total() == 1);
 }
 
@@ -186,7 +186,7 @@
   Bench it;
   http::Server crossed(it.io, {"127.0.0.1", 0}, {},
                        [](const http::ExchangePtr& exchange) {
-                         exchange->Respond(backends::EncodeRunnerAnswer(
+                         exchange->Respond(backends::EncodeRunnerResponse(
                              base::RequestId("theirs"), {200, "", "x", {}}));
                        });
   crossed.Start();
@@ -197,14 +197,14 @@
   request.deadline = Duration(10'000);
   const auto outcome = Await<RunnerOutcome>(
       [&](auto done) { runners->Send(crossed.endpoint(), request, done); });
-  CHECK_FALSE(std::get<RunnerLost>(outcome).timed_out);
+  CHECK_FALSE(std::get<RunnerResponseLost>(outcome).timed_out);
 }
 
 TEST_CASE("a reset connection does not keep a runner from the next request") {
   RunnerBench it;
-  CHECK(std::holds_alternative<RunnerAnswer>(it.Send("x")));
+  CHECK(std::holds_alternative<RunnerResponse>(it.Send("x")));
   it.Fault(RunnerFault::kReset);
-  Until<RunnerAnswer>([&] { return it.Send("y"); });
+  Until<RunnerResponse>([&] { return it.Send("y"); });
   CHECK(it.log.RunsOfBody("y") == 1);
 }
 
@@ -240,8 +240,9 @@
     query.incarnation = incarnation;
     query.wait = wait;
     query.epoch = epoch;
-    return Await<backends::ReportResult>(
-        [&](auto done) { workers->Report(server->endpoint(), query, done); });
+    return Await<backends::ReportResult>([&](auto done) {
+      workers->FetchReport(server->endpoint(), query, done);
+    });
   }
 
   lifecycle::WorkerReport Learn() {
@@ -309,7 +310,7 @@
   it.epoch = 5;
   it.Fault(WorkerFault::kRestart);
   const auto other =
-      Until<lifecycle::OtherIncarnation>([&] { return it.Order({}); });
+      Until<lifecycle::IncarnationMismatch>([&] { return it.Order({}); });
   CHECK(other.incarnation != it.incarnation);
   CHECK(it.Learn().incarnation == other.incarnation);
 }
@@ -320,7 +321,7 @@
   it.Fault(WorkerFault::kLoseAnswers);
   const auto outcome =
       it.Order({lifecycle::ReserveTask{it.key, 1, 1, 1, Duration(60'000)}});
-  CHECK(std::holds_alternative<lifecycle::OrderUnknown>(outcome));
+  CHECK(std::holds_alternative<lifecycle::OrderOutcomeUnknown>(outcome));
   it.Fault(WorkerFault::kNone);
   CHECK(it.Learn().tasks.size() == 1);
 }
@@ -343,7 +344,7 @@
   WorkerBench it;
   it.Learn();
   it.Fault(WorkerFault::kSilent);
-  CHECK(std::holds_alternative<lifecycle::OrderUnknown>(
+  CHECK(std::holds_alternative<lifecycle::OrderOutcomeUnknown>(
       it.Order({lifecycle::ReserveTask{it.key, 1, 1, 1, Duration(60'000)}})));
   it.Fault(WorkerFault::kNone);
   CHECK(it.Learn().tasks.empty());
@@ -353,7 +354,7 @@
   WorkerBench it;
   it.Learn();
   it.Fault(WorkerFault::kPause);
-  CHECK(std::holds_alternative<lifecycle::OrderUnknown>(
+  CHECK(std::holds_alternative<lifecycle::OrderOutcomeUnknown>(
       it.Order({lifecycle::ReserveTask{it.key, 1, 1, 1, Duration(60'000)}})));
   it.Fault(WorkerFault::kNone);
   CHECK(it.Learn().tasks.size() == 1);
--- a/test/standins/worker_model_test.cc
+++ b/test/standins/worker_model_test.cc
@@ -127,7 +127,7 @@
   CHECK(it.model.incarnation() != before);
   const lifecycle::WorkerOrder order{
       base::CellName("cell"), 9, before, {Reserve(0)}};
-  CHECK(std::holds_alternative<lifecycle::OtherIncarnation>(
+  CHECK(std::holds_alternative<lifecycle::IncarnationMismatch>(
       it.model.Handle(order, it.now)));
   CHECK(it.model.epoch_seen() == 0);
   CHECK(it.model.Report(0).tasks.empty());
--- a/testing/fakes/fake_owner_probe.h
+++ b/testing/fakes/fake_owner_probe.h
@@ -35,13 +35,14 @@
   void Vanish(const http::Endpoint& endpoint) { vanished_.insert(endpoint); }
 
   /// What the group says of the process at `endpoint` from now on.
-  void SetDoubt(const http::Endpoint& endpoint, lifecycle::HolderDoubt doubt) {
+  void SetDoubt(const http::Endpoint& endpoint,
+                lifecycle::HolderSuspicion doubt) {
     doubts_[endpoint] = doubt;
   }
 
-  lifecycle::HolderDoubt DoubtOf(const http::Endpoint& endpoint) const {
+  lifecycle::HolderSuspicion DoubtOf(const http::Endpoint& endpoint) const {
     const auto it = doubts_.find(endpoint);
-    return it == doubts_.end() ? lifecycle::HolderDoubt::kNone : it->second;
+    return it == doubts_.end() ? lifecycle::HolderSuspicion::kNone : it->second;
   }
 
   scheduler::GroupWord Word() const {
@@ -59,7 +60,7 @@
   };
 
   std::map<http::Endpoint, Answerer> answers_;
-  std::map<http::Endpoint, lifecycle::HolderDoubt> doubts_;
+  std::map<http::Endpoint, lifecycle::HolderSuspicion> doubts_;
   std::set<http::Endpoint> refusing_;
   std::set<http::Endpoint> vanished_;
 };
--- a/testing/fakes/fake_runners.cc
+++ b/testing/fakes/fake_runners.cc
@@ -111,7 +111,8 @@
     return;
   }
   if (fault == RunnerFault::kBreaks) {
-    answer->Give(2 * latency, backends::RunnerLost{false, "connection reset"});
+    answer->Give(2 * latency,
+                 backends::RunnerResponseLost{false, "connection reset"});
     return;
   }
   if (fault == RunnerFault::kFailsFast) {
@@ -119,13 +120,13 @@
     ++runners_.runs_of_body_[request.body];
     ++runners_.runs_of_request_[request.id];
     answer->Give(2 * latency,
-                 backends::RunnerAnswer{kFailedStatus, "text/plain", "failed",
-                                        runners_.LoadOf(target)});
+                 backends::RunnerResponse{kFailedStatus, "text/plain", "failed",
+                                          runners_.LoadOf(target)});
     return;
   }
   process_.After(request.deadline, [answer] {
     answer->Give(base::Duration(0),
-                 backends::RunnerLost{true, "deadline passed"});
+                 backends::RunnerResponseLost{true, "deadline passed"});
   });
   if (fault == RunnerFault::kLostBefore) return;
   const bool lost = fault == RunnerFault::kLostAfter;
@@ -138,7 +139,7 @@
                    if (lost) return;
                    runners_.time_.After(back, [this, &target, answer, body] {
                      answer->Give(base::Duration(0),
-                                  backends::RunnerAnswer{
+                                  backends::RunnerResponse{
                                       200, "text/plain", "ran " + body,
                                       runners_.LoadOf(target)});
                    });
--- a/testing/fakes/fake_workers.cc
+++ b/testing/fakes/fake_workers.cc
@@ -87,7 +87,7 @@
     return;
   }
   if (!it->second.reachable) {
-    fail(options.timeout, lifecycle::OrderUnknown{"no answer"});
+    fail(options.timeout, lifecycle::OrderOutcomeUnknown{"no answer"});
     return;
   }
   auto fault = fault_ ? fault_(worker, order) : OrderFault::kNone;
@@ -102,7 +102,8 @@
   const bool silent = fault == OrderFault::kOrderLost ||
                       fault == OrderFault::kAnswerLost ||
                       fault == OrderFault::kLate;
-  if (silent) fail(options.timeout, lifecycle::OrderUnknown{"no answer"});
+  if (silent)
+    fail(options.timeout, lifecycle::OrderOutcomeUnknown{"no answer"});
   if (fault == OrderFault::kOrderLost) return;
   const auto delay =
       fault == OrderFault::kLate ? options.late : options.latency;
@@ -121,9 +122,9 @@
   });
 }
 
-void FakeWorkersView::Report(const http::Endpoint& worker,
-                             backends::ReportQuery query,
-                             std::function<void(backends::ReportResult)> done) {
+void FakeWorkersView::FetchReport(
+    const http::Endpoint& worker, backends::ReportQuery query,
+    std::function<void(backends::ReportResult)> done) {
   const auto& options = workers_.options_;
   const auto it = workers_.workers_.find(worker);
   if (cut_ || it == workers_.workers_.end() || !it->second.reachable) {
--- a/testing/fakes/fake_workers.h
+++ b/testing/fakes/fake_workers.h
@@ -115,8 +115,8 @@
 
   void Send(const http::Endpoint& worker, lifecycle::WorkerOrder order,
             std::function<void(lifecycle::OrderOutcome)> done) override;
-  void Report(const http::Endpoint& worker, backends::ReportQuery query,
-              std::function<void(backends::ReportResult)> done) override;
+  void FetchReport(const http::Endpoint& worker, backends::ReportQuery query,
+                   std::function<void(backends::ReportResult)> done) override;
 
  private:
   FakeWorkers& workers_;
--- a/testing/matrix/gang_world.cc
+++ b/testing/matrix/gang_world.cc
@@ -232,17 +232,17 @@
     time_.After(FaultInjector::kPause, [this, process] {
       process->paused = false;
       process->loop.Resume();
-      owners_.SetDoubt(process->endpoint, lifecycle::HolderDoubt::kNone);
+      owners_.SetDoubt(process->endpoint, lifecycle::HolderSuspicion::kNone);
     });
   }
 
   /// What the group of processes says of one that does not answer.
   void DoubtLater(const GangProcessPtr& process) {
     time_.After(kSuspectAfter, [this, process] {
-      owners_.SetDoubt(process->endpoint, lifecycle::HolderDoubt::kSuspect);
+      owners_.SetDoubt(process->endpoint, lifecycle::HolderSuspicion::kSuspect);
     });
     time_.After(kDeadAfter, [this, process] {
-      owners_.SetDoubt(process->endpoint, lifecycle::HolderDoubt::kDead);
+      owners_.SetDoubt(process->endpoint, lifecycle::HolderSuspicion::kDead);
     });
   }
 
--- a/testing/matrix/internal/runner_breaks.h
+++ b/testing/matrix/internal/runner_breaks.h
@@ -34,10 +34,10 @@
  private:
   backends::RunnerOutcome Changed(backends::RunnerOutcome outcome) {
     if (broken_ == Break::kLostIsNotReached &&
-        std::holds_alternative<backends::RunnerLost>(outcome)) {
+        std::holds_alternative<backends::RunnerResponseLost>(outcome)) {
       return backends::RunnerNotReached{"broken on purpose"};
     }
-    auto* answer = std::get_if<backends::RunnerAnswer>(&outcome);
+    auto* answer = std::get_if<backends::RunnerResponse>(&outcome);
     if (broken_ == Break::kAnswersCrossed && answer != nullptr) {
       std::swap(answer->body, last_body_);
     }
