--- a/src/backends/backends.h
+++ b/src/backends/backends.h
@@ -1,8 +1,8 @@
 #ifndef LAPISHATCH_BACKENDS_BACKENDS_H_
 #define LAPISHATCH_BACKENDS_BACKENDS_H_
 
-/// Umbrella header of the backends package: runners and workers behind narrow
-/// interfaces, and their HTTP implementations.
+/// Umbrella header of the backends package: interfaces to runners and workers,
+/// and their HTTP implementations.
 
 #include "backends/codec_error.h"
 #include "backends/runner_client.h"
--- a/src/backends/codec_error.h
+++ b/src/backends/codec_error.h
@@ -5,15 +5,15 @@
 
 namespace lapishatch::backends {
 
-/// A message that is not as the protocol says. Carried by `leaf::result`.
+/// Error for a message that violates the protocol. Carried by `leaf::result`.
 struct CodecError {
-  /// Path of the first wrong field, such as "commands[2].lease_ms"; empty for
+  /// Path of the first invalid field, such as "commands[2].lease_ms"; empty for
   /// the message as a whole.
   std::string field;
   std::string detail;
 };
 
-/// "field: detail", for answers and logs.
+/// "field: detail", for responses and logs.
 inline std::string TextOf(const CodecError& error) {
   if (error.field.empty()) return error.detail;
   return error.field + ": " + error.detail;
--- a/src/backends/internal/json_reader.h
+++ b/src/backends/internal/json_reader.h
@@ -12,9 +12,9 @@
 
 namespace lapishatch::backends::internal {
 
-/// Reads the fields of one JSON object. The first wrong field is kept and every
-/// later read gives a default, so that a decoder reads straight on and asks
-/// once, at its end, whether all was well.
+/// Reads the fields of one JSON object. The first error is kept and each failed
+/// read returns a default, so that a decoder checks for errors only once, at
+/// its end.
 class JsonReader {
  public:
   /// `error` is shared by the readers of one message and must outlive them.
@@ -24,17 +24,17 @@
   std::string String(std::string_view name);
   std::string OptionalString(std::string_view name);
   bool OptionalBool(std::string_view name);
-  /// A whole number from 0 to `most`.
-  std::uint64_t Number(std::string_view name, std::uint64_t most);
-  std::uint64_t OptionalNumber(std::string_view name, std::uint64_t most);
-  /// A whole number of either sign in the range of int; 0 when missing.
+  /// An integer from 0 to `max`.
+  std::uint64_t Number(std::string_view name, std::uint64_t max);
+  std::uint64_t OptionalNumber(std::string_view name, std::uint64_t max);
+  /// An integer in the range of int; 0 when missing.
   int OptionalInt(std::string_view name);
-  /// The array called `name`; an empty one when missing or wrong.
+  /// The array called `name`; an empty one when missing or invalid.
   const boost::json::array& Array(std::string_view name);
-  /// The field called `name`, or nothing.
+  /// The field called `name`, or nullptr.
   const boost::json::value* Find(std::string_view name) const;
 
-  /// Notes that field `name` is wrong.
+  /// Records an error for field `name`, unless one is already recorded.
   void Fail(std::string_view name, std::string detail);
 
   /// The path of element `i` of array `name`.
@@ -42,19 +42,19 @@
 
  private:
   std::uint64_t ReadNumber(const boost::json::value& value,
-                           std::string_view name, std::uint64_t most);
+                           std::string_view name, std::uint64_t max);
 
   const boost::json::object* object_ = nullptr;
   std::string path_;
   std::optional<CodecError>& error_;
 };
 
-/// Largest numbers of the protocol's narrower fields.
-inline constexpr auto kMostInt =
+/// Largest values of the protocol's number fields.
+inline constexpr auto kMaxInt =
     static_cast<std::uint64_t>(std::numeric_limits<int>::max());
-inline constexpr auto kMostInt64 =
+inline constexpr auto kMaxInt64 =
     static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
-inline constexpr auto kMostUint64 = std::numeric_limits<std::uint64_t>::max();
+inline constexpr auto kMaxUint64 = std::numeric_limits<std::uint64_t>::max();
 
 }  // namespace lapishatch::backends::internal
 
--- a/src/backends/json_reader.cc
+++ b/src/backends/json_reader.cc
@@ -41,26 +41,25 @@
   return flag != nullptr && *flag;
 }
 
-std::uint64_t JsonReader::Number(std::string_view name, std::uint64_t most) {
+std::uint64_t JsonReader::Number(std::string_view name, std::uint64_t max) {
   if (Find(name) == nullptr) Fail(name, "is missing");
-  return OptionalNumber(name, most);
+  return OptionalNumber(name, max);
 }
 
 std::uint64_t JsonReader::OptionalNumber(std::string_view name,
-                                         std::uint64_t most) {
+                                         std::uint64_t max) {
   const auto* value = Find(name);
   if (value == nullptr) return 0;
-  return ReadNumber(*value, name, most);
+  return ReadNumber(*value, name, max);
 }
 
 std::uint64_t JsonReader::ReadNumber(const json::value& value,
-                                     std::string_view name,
-                                     std::uint64_t most) {
+                                     std::string_view name, std::uint64_t max) {
   json::error_code ec;
   const auto number = value.to_number<std::uint64_t>(ec);
   const bool whole = value.is_int64() || value.is_uint64();
-  if (!ec && whole && number <= most) return number;
-  Fail(name, "must be a whole number from 0 to " + std::to_string(most));
+  if (!ec && whole && number <= max) return number;
+  Fail(name, "must be a whole number from 0 to " + std::to_string(max));
   return 0;
 }
 
--- a/src/backends/runner_client.h
+++ b/src/backends/runner_client.h
@@ -10,28 +10,28 @@
 
 namespace lapishatch::backends {
 
-/// What a runner says of itself in each answer.
+/// Load that a runner reports in each response.
 struct RunnerLoad {
   int slots = 0;
   int busy_slots = 0;
-  /// Requests that wait inside the runner for a slot.
+  /// Requests queued in the runner for a slot.
   int waiting = 0;
   bool leaving = false;
 };
 
-/// A request on its way to one runner.
+/// A request to one runner.
 struct RunnerRequest {
   base::RequestId id;
   base::ServiceName service;
   base::OrganisationName organisation;
   base::WorkClass work_class = base::WorkClass::kNormal;
-  /// Time the caller still has.
+  /// Time left until the caller's deadline.
   base::Duration deadline{0};
   std::string content_type;
   std::string body;
 };
 
-/// The runner ran the work; this is its whole answer, byte for byte.
+/// The runner ran the work. Holds its complete response, byte for byte.
 struct RunnerResponse {
   int status = 200;
   std::string content_type;
@@ -39,8 +39,8 @@
   RunnerLoad load;
 };
 
-/// The runner's own word that it did not run the work (no slot, leaving, not
-/// its service).
+/// The runner reported that it did not run the work: it has no slot, is
+/// leaving, or does not serve the service.
 struct RunnerRefused {
   std::string reason;
   RunnerLoad load;
@@ -51,8 +51,8 @@
   std::string detail;
 };
 
-/// The request may have run: the answer is lost, late, cut short or belongs to
-/// another request.
+/// The request may have run: the response is lost, late, truncated or belongs
+/// to another request.
 struct RunnerResponseLost {
   bool timed_out = false;
   std::string detail;
@@ -63,22 +63,22 @@
 
 using PingResult = std::variant<RunnerLoad, RunnerNotReached>;
 
-/// Talks to runners. Every call ends in exactly one callback.
+/// Client of runners. Every call leads to exactly one callback.
 class RunnerClient {
  public:
   virtual ~RunnerClient() = default;
 
-  /// Ends at the latest after the request's deadline.
+  /// Calls `done` no later than the request's deadline.
   virtual void Send(const http::Endpoint& runner, RunnerRequest request,
                     std::function<void(RunnerOutcome)> done) = 0;
 
-  /// Asks for the runner's load on a fresh or idle connection.
+  /// Requests the runner's load over a new or idle connection.
   virtual void Ping(const http::Endpoint& runner, base::Duration timeout,
                     std::function<void(PingResult)> done) = 0;
 };
 
-/// Runners over HTTP (docs/OUTSIDE.md gives the protocol). `client` must
-/// outlive it.
+/// Creates a client of runners over HTTP (protocol: docs/OUTSIDE.md). `client`
+/// must outlive it.
 std::unique_ptr<RunnerClient> MakeHttpRunnerClient(http::Client& client);
 
 }  // namespace lapishatch::backends
--- a/src/backends/runner_codec.cc
+++ b/src/backends/runner_codec.cc
@@ -105,15 +105,15 @@
 }
 
 http::Response EncodeRunnerResponse(const base::RequestId& id,
-                                    RunnerResponse answer) {
+                                    RunnerResponse runner_response) {
   http::Response out;
-  out.status = answer.status;
+  out.status = runner_response.status;
   out.headers.Set(kRequestId, id.str());
-  if (!answer.content_type.empty()) {
-    out.headers.Set(kContentType, answer.content_type);
+  if (!runner_response.content_type.empty()) {
+    out.headers.Set(kContentType, runner_response.content_type);
   }
-  SetLoad(answer.load, out.headers);
-  out.body = std::move(answer.body);
+  SetLoad(runner_response.load, out.headers);
+  out.body = std::move(runner_response.body);
   return out;
 }
 
@@ -129,9 +129,9 @@
 
 RunnerOutcome DecodeRunnerResponse(const base::RequestId& id,
                                    http::Response response) {
-  const auto answered = response.headers.Find(kRequestId);
-  if (answered != id.str()) {
-    std::string detail = answered.empty()
+  const auto response_id = response.headers.Find(kRequestId);
+  if (response_id != id.str()) {
+    std::string detail = response_id.empty()
                              ? "answer carries no request id, status " +
                                    std::to_string(response.status)
                              : "answer belongs to another request";
--- a/src/backends/runner_codec.h
+++ b/src/backends/runner_codec.h
@@ -10,7 +10,7 @@
 #include "http/http.h"
 
 /// The runner protocol of docs/OUTSIDE.md over HTTP, in both directions: the
-/// request path and the stand-in runner use the same functions. Decoders of
+/// request path and the stand-in runner share these functions. Decoders of
 /// requests fail with a CodecError.
 
 namespace lapishatch::backends {
@@ -22,17 +22,17 @@
 boost::leaf::result<RunnerRequest> DecodeRunnerRequest(
     const http::Request& request);
 
-/// A runner's response to the request with `id`: the work was run.
+/// A runner's response to the request with `id` after it ran the work.
 http::Response EncodeRunnerResponse(const base::RequestId& id,
                                     RunnerResponse answer);
 
-/// A runner's response to the request with `id`: the work was not run.
+/// A runner's response to the request with `id` if it did not run the work.
 http::Response EncodeRunnerRefusal(const base::RequestId& id,
                                    const RunnerRefused& refusal);
 
-/// What a response to the request with `id` means. RunnerRefused only on the
-/// runner's own word; a response with another id, or none, is
-/// RunnerResponseLost.
+/// Interprets a response to the request with `id`. The result is RunnerRefused
+/// only if the runner reported a refusal; a response with another id, or none,
+/// is RunnerResponseLost.
 RunnerOutcome DecodeRunnerResponse(const base::RequestId& id,
                                    http::Response response);
 
--- a/src/backends/runner_health.cc
+++ b/src/backends/runner_health.cc
@@ -10,7 +10,7 @@
 
 void RunnerHealth::RecordResponse(base::TimePoint now) {
   state_ = RunnerState::kHealthy;
-  ping_under_way_ = false;
+  ping_in_progress_ = false;
   failed_pings_ = 0;
   backoff_.Reset();
   next_ping_ = now + options_.ping_interval;
@@ -22,12 +22,13 @@
   next_ping_ = now;
 }
 
-void RunnerHealth::RecordPingSent() { ping_under_way_ = true; }
+void RunnerHealth::RecordPingSent() { ping_in_progress_ = true; }
 
 void RunnerHealth::RecordPingFailure(base::TimePoint now) {
-  // An answer that came while the ping was under way has cleared the runner.
-  if (!ping_under_way_) return;
-  ping_under_way_ = false;
+  // A response received while the ping was in progress has made the runner
+  // healthy.
+  if (!ping_in_progress_) return;
+  ping_in_progress_ = false;
   ++failed_pings_;
   next_ping_ = now;
   if (failed_pings_ < options_.unreachable_after_failed_pings) {
@@ -39,7 +40,7 @@
 }
 
 bool RunnerHealth::IsPingDue(base::TimePoint now) const {
-  return !ping_under_way_ && next_ping_ <= now;
+  return !ping_in_progress_ && next_ping_ <= now;
 }
 
 }  // namespace lapishatch::backends
--- a/src/backends/runner_health.h
+++ b/src/backends/runner_health.h
@@ -9,49 +9,48 @@
 
 namespace lapishatch::backends {
 
-/// What is thought of one runner.
+/// Assumed state of one runner.
 enum class RunnerState : std::uint8_t {
   kHealthy,
-  /// A connection to it went silent or a ping failed: other runners are better
-  /// until the next ping tells.
+  /// A connection to it timed out or a ping failed: other runners are preferred
+  /// until the result of the next ping.
   kSuspect,
-  /// Several fresh connections in a row failed: gets nothing until a ping is
-  /// answered.
+  /// Several new connections in a row failed: it receives no requests until it
+  /// responds to a ping.
   kUnreachable,
 };
 
 struct RunnerHealthOptions {
-  /// A runner that answers requests is not pinged; one that has said nothing
-  /// for so long is.
+  /// A runner is pinged when it has sent no response for this long.
   base::Duration ping_interval{1'000};
   base::Duration ping_timeout{300};
-  /// Pings in a row that must fail before the runner counts as unreachable.
+  /// Number of consecutive failed pings after which the runner is unreachable.
   int unreachable_after_failed_pings = 2;
-  /// Pause after the first failed ping of a condemned runner; doubles with
+  /// Delay after the first failed ping of an unreachable runner; doubles with
   /// jitter up to the limit.
   base::Duration retry_first{200};
   base::Duration retry_limit{5'000};
   std::uint64_t seed = 1;
 };
 
-/// The health of one runner, seen from one process. Pure: events and the time
-/// in. A connection that goes silent condemns only itself: it makes the runner
-/// suspect and a ping due at once, and one answered ping, on whichever
-/// connection works, clears the runner.
+/// Health of one runner, as observed by one process. It performs no I/O; calls
+/// pass events and the time. A connection that times out does not make the
+/// runner unreachable: it makes it suspect and a ping due at once, and one
+/// successful ping, on any connection, makes the runner healthy again.
 class RunnerHealth {
  public:
   RunnerHealth(RunnerHealthOptions options, base::TimePoint now);
 
-  /// A whole answer, a refusal or a ping's answer came.
+  /// Records a complete response, a refusal or a ping response.
   void RecordResponse(base::TimePoint now);
 
-  /// A request got no answer in time, or its connection broke.
+  /// Records a request that got no response in time or lost its connection.
   void RecordFailure(base::TimePoint now);
 
   void RecordPingSent();
   void RecordPingFailure(base::TimePoint now);
 
-  /// When the next ping is due; nothing is due while one is under way.
+  /// Whether a ping is due; none is due while one is in progress.
   bool IsPingDue(base::TimePoint now) const;
   base::TimePoint next_ping() const { return next_ping_; }
 
@@ -63,7 +62,7 @@
   base::Backoff backoff_;
   RunnerState state_ = RunnerState::kHealthy;
   base::TimePoint next_ping_;
-  bool ping_under_way_ = false;
+  bool ping_in_progress_ = false;
   int failed_pings_ = 0;
 };
 
--- a/src/backends/runner_monitor.cc
+++ b/src/backends/runner_monitor.cc
@@ -14,10 +14,10 @@
 
   void Watch(const http::Endpoint& runner) {
     auto options = options_;
-    // Each runner draws its own jitter.
-    options.seed += ++watched_;
+    // Gives each runner its own jitter.
+    options.seed += ++watch_count_;
     const auto [it, added] = runners_.try_emplace(
-        runner, Watched{RunnerHealth(options, loop_.Now()), watched_, 0});
+        runner, Watched{RunnerHealth(options, loop_.Now()), watch_count_, 0});
     if (added) Arm(runner, it->second);
   }
 
@@ -57,12 +57,12 @@
  private:
   struct Watched {
     RunnerHealth health;
-    /// Tells this watch from a later one of the same runner.
+    /// Distinguishes this watch from a later one of the same runner.
     std::uint64_t id = 0;
     base::TimerId timer = 0;
   };
 
-  /// Sets the timer that looks again when the next ping is due.
+  /// Sets the timer for the next ping.
   void Arm(const http::Endpoint& runner, Watched& watched) {
     loop_.Cancel(watched.timer);
     const auto delay =
@@ -83,13 +83,13 @@
                   id](PingResult result) {
                    loop.Post([weak, runner, id, result = std::move(result)] {
                      const auto self = weak.lock();
-                     if (self) self->Finish(runner, id, result);
+                     if (self) self->HandlePingResult(runner, id, result);
                    });
                  });
   }
 
-  void Finish(const http::Endpoint& runner, std::uint64_t id,
-              const PingResult& result) {
+  void HandlePingResult(const http::Endpoint& runner, std::uint64_t id,
+                        const PingResult& result) {
     const auto it = runners_.find(runner);
     if (it == runners_.end() || it->second.id != id) return;
     const auto* load = std::get_if<RunnerLoad>(&result);
@@ -106,7 +106,7 @@
   RunnerHealthOptions options_;
   OnChange on_change_;
   OnLoad on_load_;
-  std::uint64_t watched_ = 0;
+  std::uint64_t watch_count_ = 0;
   std::map<http::Endpoint, Watched> runners_;
 };
 
--- a/src/backends/runner_monitor.h
+++ b/src/backends/runner_monitor.h
@@ -12,10 +12,10 @@
 
 namespace lapishatch::backends {
 
-/// Keeps the health of a set of runners: pings the quiet and the suspect ones
-/// and tells of every change. Give it a client of its own, with a pool apart
-/// from that of the requests, so that a ping never waits behind them. All
-/// functions are called on `loop`, which calls back too.
+/// Tracks the health of a set of runners: pings idle and suspect runners and
+/// reports every change of state. It needs a client with its own connection
+/// pool, so that a ping never waits behind requests. All functions must be
+/// called on `loop`, which also runs the callbacks.
 class RunnerMonitor {
  public:
   using OnChange = std::function<void(const http::Endpoint&, RunnerState)>;
@@ -28,20 +28,20 @@
   RunnerMonitor(const RunnerMonitor&) = delete;
   RunnerMonitor& operator=(const RunnerMonitor&) = delete;
 
-  /// What to call when a runner's state changes, and with each load that a
-  /// ping brings.
+  /// Set the callbacks for changes of a runner's state and for each load that a
+  /// ping returns.
   void SetOnChange(OnChange on_change);
   void SetOnLoad(OnLoad on_load);
 
-  /// Begins to watch a runner, thought to work until told otherwise.
+  /// Starts watching a runner, which is healthy until a failure is recorded.
   void Watch(const http::Endpoint& runner);
   void Unwatch(const http::Endpoint& runner);
 
-  /// What the requests found; runners not watched are passed over.
+  /// Record the outcome of a request; ignored for runners that are not watched.
   void RecordResponse(const http::Endpoint& runner);
   void RecordFailure(const http::Endpoint& runner);
 
-  /// Nothing for a runner that is not watched.
+  /// Empty for a runner that is not watched.
   std::optional<RunnerState> state(const http::Endpoint& runner) const;
 
  private:
--- a/src/backends/worker_client.h
+++ b/src/backends/worker_client.h
@@ -11,31 +11,33 @@
 
 namespace lapishatch::backends {
 
-/// No report came: the worker is not reached or answered nonsense.
+/// No valid report was received: the worker was not reached, or its response
+/// was invalid.
 struct ReportFailed {
   std::string detail;
 };
 
 using ReportResult = std::variant<lifecycle::WorkerReport, ReportFailed>;
 
-/// What a report is asked with.
+/// Parameters of a report request.
 struct ReportQuery {
-  /// Tasks changed after this sequence of this incarnation; 0 asks for all.
-  /// Acknowledges ended tasks up to it.
+  /// Requests the tasks changed after this sequence of this incarnation; 0
+  /// requests all. Acknowledges ended tasks up to it.
   std::uint64_t since = 0;
   base::Incarnation incarnation;
-  /// The worker answers at once when something changed, otherwise after this.
+  /// The worker responds at once when a task changed, otherwise after this
+  /// time.
   base::Duration wait{0};
-  /// Epoch of the asking owner: the worker notes it like an order's; a lower
-  /// one than seen is told so in the report's epoch_seen.
+  /// Epoch of the requesting owner. The worker records it like that of an
+  /// order; if it has seen a higher one, the report's epoch_seen shows it.
   lifecycle::Epoch epoch = 0;
   base::CellName cell;
-  /// When not zero: renews by this much every lease of the cell's started tasks
-  /// on the worker.
+  /// If not zero, extends every lease of the cell's started tasks on the worker
+  /// by this time.
   base::Duration renew{0};
 };
 
-/// Talks to workers. Every call ends in exactly one callback.
+/// Client of workers. Every call leads to exactly one callback.
 class WorkerClient {
  public:
   virtual ~WorkerClient() = default;
@@ -53,8 +55,8 @@
   base::Duration report_timeout{2'000};
 };
 
-/// Workers over HTTP (docs/OUTSIDE.md gives the protocol). `client` must
-/// outlive it.
+/// Creates a client of workers over HTTP (protocol: docs/OUTSIDE.md). `client`
+/// must outlive it.
 std::unique_ptr<WorkerClient> MakeHttpWorkerClient(http::Client& client,
                                                    HttpWorkerOptions options);
 
--- a/src/backends/worker_codec.cc
+++ b/src/backends/worker_codec.cc
@@ -14,9 +14,9 @@
 namespace json = boost::json;
 namespace leaf = boost::leaf;
 using internal::JsonReader;
-using internal::kMostInt;
-using internal::kMostInt64;
-using internal::kMostUint64;
+using internal::kMaxInt;
+using internal::kMaxInt64;
+using internal::kMaxUint64;
 using lifecycle::TaskKey;
 using lifecycle::TaskReport;
 using lifecycle::WorkerCommand;
@@ -53,7 +53,7 @@
   return value.has_value() ? std::move(*value) : json::value(payload);
 }
 
-/// Turns each command into its JSON object.
+/// Encodes each command as a JSON object.
 struct CommandEncoder {
   json::object operator()(const lifecycle::ReserveTask& it) const {
     auto out = ObjectOf("reserve", it.key);
@@ -95,21 +95,21 @@
 TaskKey ReadKey(JsonReader& reader) {
   return {base::JobName(reader.String("job")),
           base::AttemptId(reader.String("attempt")),
-          static_cast<int>(reader.Number("task", kMostInt))};
+          static_cast<int>(reader.Number("task", kMaxInt))};
 }
 
 base::Duration ReadLease(JsonReader& reader) {
   return base::Duration(
-      static_cast<std::int64_t>(reader.Number("lease_ms", kMostInt64)));
+      static_cast<std::int64_t>(reader.Number("lease_ms", kMaxInt64)));
 }
 
 WorkerCommand ReadReserve(JsonReader& reader) {
   lifecycle::ReserveTask out;
   out.key = ReadKey(reader);
-  out.accelerators = reader.Number("accelerators", kMostUint64);
-  out.cores = static_cast<int>(reader.Number("cores", kMostInt));
+  out.accelerators = reader.Number("accelerators", kMaxUint64);
+  out.cores = static_cast<int>(reader.Number("cores", kMaxInt));
   out.memory_mb =
-      static_cast<std::int64_t>(reader.Number("memory_mb", kMostInt64));
+      static_cast<std::int64_t>(reader.Number("memory_mb", kMaxInt64));
   out.lease = ReadLease(reader);
   return out;
 }
@@ -139,7 +139,7 @@
   }
   if (name == "throttle") {
     auto key = ReadKey(reader);
-    const auto cores = static_cast<int>(reader.Number("cores", kMostInt));
+    const auto cores = static_cast<int>(reader.Number("cores", kMaxInt));
     return lifecycle::ThrottleTask{std::move(key), cores};
   }
   if (name != "stop") {
@@ -176,10 +176,10 @@
                 "must be one of " + base::AllowedNames<lifecycle::TaskState>());
   }
   out.state = state.value_or(lifecycle::TaskState::kReserved);
-  out.accelerators = reader.OptionalNumber("accelerators", kMostUint64);
-  out.cores = static_cast<int>(reader.OptionalNumber("cores", kMostInt));
+  out.accelerators = reader.OptionalNumber("accelerators", kMaxUint64);
+  out.cores = static_cast<int>(reader.OptionalNumber("cores", kMaxInt));
   out.memory_mb =
-      static_cast<std::int64_t>(reader.OptionalNumber("memory_mb", kMostInt64));
+      static_cast<std::int64_t>(reader.OptionalNumber("memory_mb", kMaxInt64));
   out.exit_code = reader.OptionalInt("exit_code");
   out.detail = reader.OptionalString("detail");
   out.checkpoint = reader.OptionalString("checkpoint");
@@ -189,14 +189,14 @@
 }
 
 void ReadSizes(JsonReader& reader, WorkerReport& out) {
-  out.accelerators = static_cast<int>(reader.Number("accelerators", kMostInt));
-  out.cores = static_cast<int>(reader.Number("cores", kMostInt));
+  out.accelerators = static_cast<int>(reader.Number("accelerators", kMaxInt));
+  out.cores = static_cast<int>(reader.Number("cores", kMaxInt));
   out.memory_mb =
-      static_cast<std::int64_t>(reader.Number("memory_mb", kMostInt64));
+      static_cast<std::int64_t>(reader.Number("memory_mb", kMaxInt64));
   out.used_cores =
-      static_cast<int>(reader.OptionalNumber("used_cores", kMostInt));
+      static_cast<int>(reader.OptionalNumber("used_cores", kMaxInt));
   out.used_memory_mb = static_cast<std::int64_t>(
-      reader.OptionalNumber("used_memory_mb", kMostInt64));
+      reader.OptionalNumber("used_memory_mb", kMaxInt64));
 }
 
 http::Response JsonResponse(int status, const json::value& body) {
@@ -207,8 +207,8 @@
   return out;
 }
 
-/// Turns what a worker decided into its response.
-struct AnswerEncoder {
+/// Encodes a worker's outcome as an HTTP response.
+struct OutcomeEncoder {
   http::Response operator()(const lifecycle::OrderDone& it) const {
     json::array results;
     for (const auto& result : it.results) {
@@ -278,25 +278,25 @@
 }
 
 std::uint64_t ReadParameter(const http::Target& target, std::string_view name,
-                            std::uint64_t most,
+                            std::uint64_t max,
                             std::optional<CodecError>& error) {
   const auto text = target.Query(name);
   if (text.empty()) return 0;
   std::uint64_t out = 0;
   const auto* end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, out);
-  if (parsed.ec == std::errc() && parsed.ptr == end && out <= most) return out;
+  if (parsed.ec == std::errc() && parsed.ptr == end && out <= max) return out;
   if (!error.has_value()) {
     error = CodecError{std::string(name), "must be a whole number from 0 to " +
-                                              std::to_string(most)};
+                                              std::to_string(max)};
   }
   return 0;
 }
 
 base::Duration ReadDuration(const http::Target& target, std::string_view name,
                             std::optional<CodecError>& error) {
-  return base::Duration(static_cast<std::int64_t>(
-      ReadParameter(target, name, kMostInt64, error)));
+  return base::Duration(
+      static_cast<std::int64_t>(ReadParameter(target, name, kMaxInt64, error)));
 }
 
 }  // namespace
@@ -322,7 +322,7 @@
   JsonReader reader(*value, "", error);
   WorkerOrder out;
   out.cell = base::CellName(reader.String("cell"));
-  out.epoch = reader.Number("epoch", kMostUint64);
+  out.epoch = reader.Number("epoch", kMaxUint64);
   out.worker_incarnation =
       base::Incarnation(reader.String("worker_incarnation"));
   const auto& commands = reader.Array("commands");
@@ -362,11 +362,11 @@
   WorkerReport out;
   out.worker = base::WorkerName(reader.String("worker"));
   out.incarnation = base::Incarnation(reader.String("incarnation"));
-  out.epoch_seen = reader.Number("epoch_seen", kMostUint64);
+  out.epoch_seen = reader.Number("epoch_seen", kMaxUint64);
   out.rack = base::RackName(reader.OptionalString("rack"));
   ReadSizes(reader, out);
   out.leaving = reader.OptionalBool("leaving");
-  out.sequence = reader.Number("sequence", kMostUint64);
+  out.sequence = reader.Number("sequence", kMaxUint64);
   const auto& tasks = reader.Array("tasks");
   for (std::size_t i = 0; i < tasks.size(); ++i) {
     JsonReader entry(tasks[i], reader.PathOf("tasks", i), error);
@@ -377,7 +377,7 @@
 }
 
 http::Response EncodeOrderResponse(const lifecycle::OrderOutcome& outcome) {
-  return std::visit(AnswerEncoder{}, outcome);
+  return std::visit(OutcomeEncoder{}, outcome);
 }
 
 lifecycle::OrderOutcome DecodeOrderResponse(const http::Response& response,
@@ -391,7 +391,7 @@
   JsonReader reader(*value, "", error);
   if (response.status == kOk) out = ReadResults(reader, error, commands);
   if (response.status == kConflict) {
-    out = lifecycle::StaleEpoch{reader.Number("epoch_seen", kMostUint64)};
+    out = lifecycle::StaleEpoch{reader.Number("epoch_seen", kMaxUint64)};
   }
   if (response.status == kPreconditionFailed) {
     out = lifecycle::IncarnationMismatch{
@@ -418,10 +418,10 @@
 leaf::result<ReportQuery> DecodeReportQuery(const http::Target& target) {
   std::optional<CodecError> error;
   ReportQuery out;
-  out.since = ReadParameter(target, "since", kMostUint64, error);
+  out.since = ReadParameter(target, "since", kMaxUint64, error);
   out.incarnation = base::Incarnation(std::string(target.Query("incarnation")));
   out.wait = ReadDuration(target, "wait_ms", error);
-  out.epoch = ReadParameter(target, "epoch", kMostUint64, error);
+  out.epoch = ReadParameter(target, "epoch", kMaxUint64, error);
   out.cell = base::CellName(std::string(target.Query("cell")));
   out.renew = ReadDuration(target, "renew_ms", error);
   if (error.has_value()) return leaf::new_error(*error);
--- a/src/backends/worker_codec.h
+++ b/src/backends/worker_codec.h
@@ -12,33 +12,35 @@
 #include "lifecycle/lifecycle.h"
 
 /// The worker protocol of docs/OUTSIDE.md as JSON, in both directions: the
-/// scheduler and the stand-in worker use the same functions, so they cannot
-/// drift apart. Decoders fail with a CodecError.
+/// scheduler and the stand-in worker share these functions, so their formats
+/// cannot diverge. Decoders fail with a CodecError.
 
 namespace lapishatch::backends {
 
 inline constexpr std::string_view kOrdersPath = "/v1/orders";
 inline constexpr std::string_view kReportPath = "/v1/report";
 
-/// The body of an order. A payload that is not JSON travels as a JSON string.
+/// The body of an order. A payload that is not JSON is encoded as a JSON
+/// string.
 std::string EncodeOrder(const lifecycle::WorkerOrder& order);
 boost::leaf::result<lifecycle::WorkerOrder> DecodeOrder(std::string_view body);
 
-/// The body of a report. Fields of a task that have their default are left out.
+/// The body of a report. Fields of a task with their default value are omitted.
 std::string EncodeReport(const lifecycle::WorkerReport& report);
 boost::leaf::result<lifecycle::WorkerReport> DecodeReport(
     std::string_view body);
 
-/// The response to an order. `outcome` must be one that a worker can give:
-/// OrderDone, StaleEpoch or IncarnationMismatch; the others become 500.
+/// The response to an order. `outcome` must be one that a worker can return:
+/// OrderDone, StaleEpoch or IncarnationMismatch; the others become status 500.
 http::Response EncodeOrderResponse(const lifecycle::OrderOutcome& outcome);
 
-/// What a response to an order of `commands` commands means; whatever is not as
-/// the protocol says is OrderOutcomeUnknown, since the worker may have acted.
+/// Interprets a response to an order of `commands` commands. A response that
+/// violates the protocol is OrderOutcomeUnknown, since the worker may have
+/// executed the order.
 lifecycle::OrderOutcome DecodeOrderResponse(const http::Response& response,
                                             std::size_t commands);
 
-/// The request target that asks for a report.
+/// The request target for a report.
 std::string EncodeReportQuery(const ReportQuery& query);
 boost::leaf::result<ReportQuery> DecodeReportQuery(const http::Target& target);
 
--- a/src/lifecycle/cell_lease.cc
+++ b/src/lifecycle/cell_lease.cc
@@ -14,29 +14,29 @@
 using msm::front::none;
 using msm::front::Row;
 
-// What the machine sees: conclusions from the rows and the time.
-struct LooksExpired {};
-struct Doubted {};
-struct Unconfirmed {};
-struct HolderLives {};
-struct Free {};
-struct Took {};
-struct TakeFailed {};
-struct Gone {};
-struct StopAsked {};
-struct Freed {};
+// Internal events of the state machine, derived from rows and time.
+struct LeaseExpired {};
+struct HolderSuspected {};
+struct HolderUnresponsive {};
+struct HolderAlive {};
+struct CellAvailable {};
+struct Acquired {};
+struct AcquireFailed {};
+struct Lost {};
+struct StopRequested {};
+struct RowReleased {};
 
 enum class LeasePhase : std::uint8_t {
   kWatching,
-  kAsking,
-  kTaking,
+  kQuerying,
+  kAcquiring,
   kHolding,
   kReleasing,
   kReleased,
 };
 
-/// Everything the machine's actions work on.
-struct LeaseBook {
+/// Data that the state machine's actions use.
+struct LeaseContext {
   base::Incarnation self;
   std::string endpoint;
   LeaseTiming times;
@@ -50,30 +50,31 @@
   std::uint64_t row_version = 0;
   std::uint64_t fence_version = 0;
 
-  // Calls in progress; each has exactly one answer.
+  // Calls in progress; each completes exactly once.
   bool reading = false;
   bool writing = false;
   base::TimePoint read_sent;
   HolderRow written;
   base::TimePoint write_sent;
 
-  // As candidate: the row has not changed since then, without a failed read.
+  // As candidate: the row has not changed since this time, without a failed
+  // read.
   std::optional<base::TimePoint> unchanged_since;
-  base::TimePoint last_good_read;
-  /// The version whose holder said that it only misses the table.
-  std::uint64_t spared_version = 0;
+  base::TimePoint last_successful_read;
+  /// Row version whose holder reported that it cannot reach the table.
+  std::uint64_t table_outage_version = 0;
   Epoch highest_epoch_seen = 0;
   HolderSuspicion suspicion = HolderSuspicion::kNone;
-  /// The holder is asked before its lease has run out.
-  bool asked_on_hint = false;
-  /// The row has changed since the holder was asked: it lives.
-  bool changed_while_asked = false;
-  /// The version whose holder was silent to us, and until when it is not asked
-  /// again.
-  std::uint64_t silent_version = 0;
-  base::TimePoint ask_not_before;
-  /// Changes of hands without a release.
-  std::optional<base::TimePoint> changed_hands_at;
+  /// Whether the holder is queried before its lease has expired.
+  bool queried_early = false;
+  /// The row has changed since the query was sent, so the holder is alive.
+  bool changed_during_query = false;
+  /// Row version whose holder did not respond to this process, and the earliest
+  /// time of the next query.
+  std::uint64_t timed_out_version = 0;
+  base::TimePoint next_query_at;
+  /// Time of the last change of holder without a release.
+  std::optional<base::TimePoint> holder_changed_at;
   base::Duration early_acquire_pause{0};
   AcquireReason acquire_reason = AcquireReason::kFree;
   base::Incarnation previous_holder;
@@ -81,9 +82,9 @@
   // As holder.
   Epoch epoch = 0;
   base::TimePoint valid_until;
-  /// The table failed under our eyes at this time.
+  /// Time of the last failed call to the table.
   std::optional<base::TimePoint> table_failed_at;
-  bool release_wanted = false;
+  bool release_requested = false;
   std::string lost_reason;
 
   std::vector<LeaseCommand> out;
@@ -109,84 +110,90 @@
     return it.holder == self && it.epoch == epoch;
   }
 
-  void NoteChangeOfHands() {
+  void RecordHolderChange() {
     const bool again =
-        changed_hands_at &&
-        now - *changed_hands_at < times.early_acquire_pause_limit * 2;
+        holder_changed_at &&
+        now - *holder_changed_at < times.early_acquire_pause_limit * 2;
     early_acquire_pause = again ? std::min(early_acquire_pause * 2,
                                            times.early_acquire_pause_limit)
                                 : times.early_acquire_pause;
-    changed_hands_at = now;
+    holder_changed_at = now;
   }
 
-  bool MayTakeOnHint() const {
-    return !changed_hands_at || now - *changed_hands_at >= early_acquire_pause;
+  bool MayAcquireEarly() const {
+    return !holder_changed_at ||
+           now - *holder_changed_at >= early_acquire_pause;
   }
 
-  base::Duration ReadPause() const {
-    const bool hurry = suspicion != HolderSuspicion::kNone && MayTakeOnHint();
-    return hurry ? std::min(times.suspect_read_interval, times.read_interval)
-                 : times.read_interval;
+  base::Duration ReadDelay() const {
+    const bool read_often =
+        suspicion != HolderSuspicion::kNone && MayAcquireEarly();
+    return read_often
+               ? std::min(times.suspect_read_interval, times.read_interval)
+               : times.read_interval;
   }
 };
 
-struct EmitAsk {
+struct EmitQuery {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    auto& book = *fsm.book;
-    book.changed_while_asked = false;
-    book.out.push_back(QueryHolder{book.row.endpoint, book.row.holder});
+    auto& context = *fsm.context;
+    context.changed_during_query = false;
+    context.out.push_back(
+        QueryHolder{context.row.endpoint, context.row.holder});
   }
 };
 
-struct EmitTake {
+struct EmitAcquire {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    auto& book = *fsm.book;
-    const auto highest = std::max(book.row.epoch, book.highest_epoch_seen);
-    book.WriteOwnRow(book.self, highest + 1, true);
+    auto& context = *fsm.context;
+    const auto highest =
+        std::max(context.row.epoch, context.highest_epoch_seen);
+    context.WriteOwnRow(context.self, highest + 1, true);
   }
 };
 
 struct EmitGranted {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    auto& book = *fsm.book;
-    book.out.push_back(LeaseGranted{book.epoch, book.fence_version,
-                                    book.acquire_reason, book.previous_holder});
+    auto& context = *fsm.context;
+    context.out.push_back(LeaseGranted{context.epoch, context.fence_version,
+                                       context.acquire_reason,
+                                       context.previous_holder});
   }
 };
 
 struct EmitLost {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    auto& book = *fsm.book;
-    book.out.push_back(LeaseLost{book.lost_reason});
+    auto& context = *fsm.context;
+    context.out.push_back(LeaseLost{context.lost_reason});
   }
 };
 
 struct EmitReleased {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    fsm.book->out.push_back(LeaseReleased{});
+    fsm.context->out.push_back(LeaseReleased{});
   }
 };
 
-/// A candidate begins to watch anew: what it had observed counts no longer.
-struct WatchAnew {
+/// Restarts a candidate's watch and discards its earlier observations.
+struct RestartWatch {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    auto& book = *fsm.book;
-    book.unchanged_since.reset();
-    book.next_step = book.now + book.times.read_interval;
+    auto& context = *fsm.context;
+    context.unchanged_since.reset();
+    context.next_step = context.now + context.times.read_interval;
   }
 };
 
-struct LoseAndWatch {
+struct LoseAndRestartWatch {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event& event, Fsm& fsm, From& from, To& to) {
     EmitLost()(event, fsm, from, to);
-    WatchAnew()(event, fsm, from, to);
+    RestartWatch()(event, fsm, from, to);
   }
 };
 
@@ -194,14 +201,14 @@
 struct InPhase : msm::front::state<> {
   template <typename Event, typename Fsm>
   void on_entry(const Event&, Fsm& fsm) {
-    fsm.book->phase = kPhase;
+    fsm.context->phase = kPhase;
   }
 };
 
 struct LeaseDef : msm::front::state_machine_def<LeaseDef> {
   using Watching = InPhase<LeasePhase::kWatching>;
-  using Asking = InPhase<LeasePhase::kAsking>;
-  using Taking = InPhase<LeasePhase::kTaking>;
+  using Querying = InPhase<LeasePhase::kQuerying>;
+  using Acquiring = InPhase<LeasePhase::kAcquiring>;
   using Holding = InPhase<LeasePhase::kHolding>;
   using Releasing = InPhase<LeasePhase::kReleasing>;
   using Released = InPhase<LeasePhase::kReleased>;
@@ -209,27 +216,27 @@
 
   // clang-format off
   struct transition_table : mpl::vector<  // NOLINT(readability-identifier-naming)
-    Row<Watching,  Free,         Taking,    EmitTake,     none>,
-    Row<Watching,  LooksExpired, Asking,    EmitAsk,      none>,
-    Row<Watching,  Doubted,      Asking,    EmitAsk,      none>,
-    Row<Watching,  StopAsked,    Released,  EmitReleased, none>,
-    Row<Asking,    Unconfirmed,  Watching,  none,         none>,
-    Row<Asking,    HolderLives,  Watching,  WatchAnew,    none>,
-    Row<Asking,    Free,         Taking,    EmitTake,     none>,
-    Row<Asking,    StopAsked,    Released,  EmitReleased, none>,
-    Row<Taking,    Took,         Holding,   EmitGranted,  none>,
-    Row<Taking,    TakeFailed,   Watching,  WatchAnew,    none>,
-    Row<Holding,   Gone,         Watching,  LoseAndWatch, none>,
-    Row<Holding,   StopAsked,    Releasing, none,         none>,
-    Row<Releasing, Gone,         Released,  EmitReleased, none>,
-    Row<Releasing, Freed,        Released,  EmitReleased, none>
+    Row<Watching,  CellAvailable,         Acquiring,    EmitAcquire,     none>,
+    Row<Watching,  LeaseExpired, Querying,    EmitQuery,      none>,
+    Row<Watching,  HolderSuspected,      Querying,    EmitQuery,      none>,
+    Row<Watching,  StopRequested,    Released,  EmitReleased, none>,
+    Row<Querying,    HolderUnresponsive,  Watching,  none,         none>,
+    Row<Querying,    HolderAlive,  Watching,  RestartWatch,    none>,
+    Row<Querying,    CellAvailable,         Acquiring,    EmitAcquire,     none>,
+    Row<Querying,    StopRequested,    Released,  EmitReleased, none>,
+    Row<Acquiring,    Acquired,         Holding,   EmitGranted,  none>,
+    Row<Acquiring,    AcquireFailed,   Watching,  RestartWatch,    none>,
+    Row<Holding,   Lost,         Watching,  LoseAndRestartWatch, none>,
+    Row<Holding,   StopRequested,    Releasing, none,         none>,
+    Row<Releasing, Lost,         Released,  EmitReleased, none>,
+    Row<Releasing, RowReleased,        Released,  EmitReleased, none>
   > {};
   // clang-format on
 
   template <typename Event, typename Fsm>
   void no_transition(const Event&, Fsm&, int) {}
 
-  LeaseBook* book = nullptr;
+  LeaseContext* context = nullptr;
 };
 
 using Machine = msm::back::state_machine<LeaseDef>;
@@ -238,162 +245,166 @@
 
 struct CellLease::Impl {
   Impl(base::Incarnation self, std::string endpoint, LeaseTiming times) {
-    book.self = std::move(self);
-    book.endpoint = std::move(endpoint);
-    book.times = times;
-    machine.book = &book;
+    context.self = std::move(self);
+    context.endpoint = std::move(endpoint);
+    context.times = times;
+    machine.context = &context;
     machine.start();
   }
 
   template <typename Event>
-  void Feed(const Event& event) {
+  void Process(const Event& event) {
     machine.process_event(event);
   }
 
-  bool Is(LeasePhase phase) const { return book.phase == phase; }
+  bool Is(LeasePhase phase) const { return context.phase == phase; }
 
   void Lose(std::string reason) {
-    book.lost_reason = std::move(reason);
-    Feed(Gone{});
+    context.lost_reason = std::move(reason);
+    Process(Lost{});
   }
 
-  void NoteTableFailure() {
-    book.table_failed_at = book.now;
-    book.unchanged_since.reset();
-    book.next_step = book.now + book.times.read_interval;
+  void RecordTableFailure() {
+    context.table_failed_at = context.now;
+    context.unchanged_since.reset();
+    context.next_step = context.now + context.times.read_interval;
   }
 
-  // Each Note writes one event into the book and feeds what follows from it.
+  // Each Apply records one event in the context and processes the resulting
+  // internal events.
 
-  void Note(const RowRead& event) {
-    book.reading = false;
-    switch (book.phase) {
+  void Apply(const RowRead& event) {
+    context.reading = false;
+    switch (context.phase) {
       case LeasePhase::kWatching:
         return Observe(event);
-      case LeasePhase::kTaking:
-        return ResolveTake(event);
+      case LeasePhase::kAcquiring:
+        return ResolveAcquire(event);
       case LeasePhase::kHolding:
         return ResolveRenewal(event);
       case LeasePhase::kReleasing:
         return ResolveRelease(event);
-      case LeasePhase::kAsking:
-        return WatchWhileAsking(event);
+      case LeasePhase::kQuerying:
+        return ObserveDuringQuery(event);
       case LeasePhase::kReleased:
         return;
     }
   }
 
-  void Note(const RowReadFailed&) {
-    book.reading = false;
-    NoteTableFailure();
-    const bool lapsed = book.now - book.write_sent > book.times.duration;
-    if (Is(LeasePhase::kTaking) && lapsed) Feed(TakeFailed{});
+  void Apply(const RowReadFailed&) {
+    context.reading = false;
+    RecordTableFailure();
+    const bool expired =
+        context.now - context.write_sent > context.times.duration;
+    if (Is(LeasePhase::kAcquiring) && expired) Process(AcquireFailed{});
   }
 
-  void Note(const RowWritten& event) {
-    book.writing = false;
-    book.table_failed_at.reset();
-    switch (book.phase) {
-      case LeasePhase::kTaking:
-        book.row_version = event.row_version;
-        book.fence_version = event.fence_version;
+  void Apply(const RowWritten& event) {
+    context.writing = false;
+    context.table_failed_at.reset();
+    switch (context.phase) {
+      case LeasePhase::kAcquiring:
+        context.row_version = event.row_version;
+        context.fence_version = event.fence_version;
         return Grant();
       case LeasePhase::kHolding:
-        book.row = book.written;
-        book.row_version = event.row_version;
+        context.row = context.written;
+        context.row_version = event.row_version;
         return Renewed();
       case LeasePhase::kReleasing:
-        // The answer may be that of a renewal sent before the release.
-        book.row_version = event.row_version;
-        if (!book.written.holder.empty()) return WriteRelease();
-        return Feed(Freed{});
+        // The result may be that of a renewal sent before the release.
+        context.row_version = event.row_version;
+        if (!context.written.holder.empty()) return WriteRelease();
+        return Process(RowReleased{});
       case LeasePhase::kWatching:
-      case LeasePhase::kAsking:
+      case LeasePhase::kQuerying:
       case LeasePhase::kReleased:
         return;
     }
   }
 
-  void Note(const RowWriteConflict&) {
-    book.writing = false;
-    if (Is(LeasePhase::kTaking)) return Feed(TakeFailed{});
-    if (Is(LeasePhase::kHolding) || Is(LeasePhase::kReleasing)) book.Read();
+  void Apply(const RowWriteConflict&) {
+    context.writing = false;
+    if (Is(LeasePhase::kAcquiring)) return Process(AcquireFailed{});
+    if (Is(LeasePhase::kHolding) || Is(LeasePhase::kReleasing)) context.Read();
   }
 
-  void Note(const RowWriteFailed&) {
-    book.writing = false;
-    NoteTableFailure();
-    if (Is(LeasePhase::kTaking)) Feed(TakeFailed{});
+  void Apply(const RowWriteFailed&) {
+    context.writing = false;
+    RecordTableFailure();
+    if (Is(LeasePhase::kAcquiring)) Process(AcquireFailed{});
   }
 
-  void Note(const RowWriteUnknown&) {
-    book.writing = false;
-    NoteTableFailure();
-    if (Is(LeasePhase::kWatching) || Is(LeasePhase::kAsking)) return;
-    book.Read();
+  void Apply(const RowWriteUnknown&) {
+    context.writing = false;
+    RecordTableFailure();
+    if (Is(LeasePhase::kWatching) || Is(LeasePhase::kQuerying)) return;
+    context.Read();
   }
 
-  void Note(const HolderAnswered& event) {
-    if (!Is(LeasePhase::kAsking)) return;
+  void Apply(const HolderAnswered& event) {
+    if (!Is(LeasePhase::kQuerying)) return;
     switch (event.state) {
       case HolderState::kHolding:
-        return Feed(HolderLives{});
+        return Process(HolderAlive{});
       case HolderState::kNotHolding:
-        return TakeAfterAsking(AcquireReason::kNotHolding);
+        return AcquireAfterQuery(AcquireReason::kNotHolding);
       case HolderState::kHoldingWithoutTable:
-        if (book.asked_on_hint) return Feed(HolderLives{});
-        // It renews first when the table has come back. If the row is still
-        // unchanged after one more lease, only its own way is cut.
-        if (book.spared_version == book.row_version) {
-          return TakeAfterAsking(AcquireReason::kExpired);
+        if (context.queried_early) return Process(HolderAlive{});
+        // The holder renews first once the table is available again. If the row
+        // is still unchanged after another lease duration, only the holder's
+        // own connection to the table has failed.
+        if (context.table_outage_version == context.row_version) {
+          return AcquireAfterQuery(AcquireReason::kExpired);
         }
-        book.spared_version = book.row_version;
-        return Feed(HolderLives{});
+        context.table_outage_version = context.row_version;
+        return Process(HolderAlive{});
     }
   }
 
-  void Note(const HolderTimedOut&) {
-    if (!Is(LeasePhase::kAsking)) return;
-    if (book.changed_while_asked) return Feed(HolderLives{});
-    if (!book.asked_on_hint) return TakeAfterAsking(AcquireReason::kExpired);
-    book.silent_version = book.row_version;
-    book.ask_not_before = book.now + book.times.read_interval;
-    Feed(Unconfirmed{});
-    book.Read();
+  void Apply(const HolderTimedOut&) {
+    if (!Is(LeasePhase::kQuerying)) return;
+    if (context.changed_during_query) return Process(HolderAlive{});
+    if (!context.queried_early)
+      return AcquireAfterQuery(AcquireReason::kExpired);
+    context.timed_out_version = context.row_version;
+    context.next_query_at = context.now + context.times.read_interval;
+    Process(HolderUnresponsive{});
+    context.Read();
   }
 
-  void Note(const HolderConnectionRefused&) {
-    if (Is(LeasePhase::kAsking))
-      TakeAfterAsking(AcquireReason::kConnectionRefused);
+  void Apply(const HolderConnectionRefused&) {
+    if (Is(LeasePhase::kQuerying))
+      AcquireAfterQuery(AcquireReason::kConnectionRefused);
   }
 
-  void Note(const EpochRejected& event) {
-    book.highest_epoch_seen =
-        std::max(book.highest_epoch_seen, event.epoch_seen);
+  void Apply(const EpochRejected& event) {
+    context.highest_epoch_seen =
+        std::max(context.highest_epoch_seen, event.epoch_seen);
     if (Is(LeasePhase::kHolding)) Lose("a later owner has been seen");
   }
 
-  void Note(const ReleaseRequested&) {
-    book.release_wanted = true;
-    Feed(StopAsked{});
-    if (Is(LeasePhase::kReleasing) && !book.writing) WriteRelease();
+  void Apply(const ReleaseRequested&) {
+    context.release_requested = true;
+    Process(StopRequested{});
+    if (Is(LeasePhase::kReleasing) && !context.writing) WriteRelease();
   }
 
-  void Note(const ReadRequested&) {
-    if (Is(LeasePhase::kWatching)) book.Read();
+  void Apply(const ReadRequested&) {
+    if (Is(LeasePhase::kWatching)) context.Read();
   }
 
-  void Note(const LeaseTimerFired&) {
-    if (book.now < book.next_step) return;
-    book.next_step = book.now + book.ReadPause();
-    if (book.reading || book.writing) return;
-    switch (book.phase) {
+  void Apply(const LeaseTimerFired&) {
+    if (context.now < context.next_step) return;
+    context.next_step = context.now + context.ReadDelay();
+    if (context.reading || context.writing) return;
+    switch (context.phase) {
       case LeasePhase::kWatching:
-      case LeasePhase::kAsking:
-      case LeasePhase::kTaking:
-        return book.Read();
+      case LeasePhase::kQuerying:
+      case LeasePhase::kAcquiring:
+        return context.Read();
       case LeasePhase::kHolding:
-        return book.WriteOwnRow(book.self, book.epoch, false);
+        return context.WriteOwnRow(context.self, context.epoch, false);
       case LeasePhase::kReleasing:
         return WriteRelease();
       case LeasePhase::kReleased:
@@ -401,154 +412,164 @@
     }
   }
 
-  /// A candidate has seen the row.
+  /// Handles a row read by a candidate.
   void Observe(const RowRead& event) {
-    if (event.row_version != book.row_version) book.unchanged_since.reset();
-    NoteGoodRead();
+    if (event.row_version != context.row_version)
+      context.unchanged_since.reset();
+    RecordSuccessfulRead();
     const auto row = event.row.value_or(HolderRow());
-    const bool had_other = !book.row.holder.empty() && !row.holder.empty() &&
-                           book.row.holder != row.holder;
-    if (had_other) book.NoteChangeOfHands();
-    book.row = row;
-    book.row_version = event.row_version;
-    book.suspicion = event.suspicion;
-    if (book.writing) return;
-    const auto& holder = book.row.holder;
-    if (holder.empty() || holder == book.self)
-      return Take(AcquireReason::kFree);
-    // Unchanged at least until the read was sent.
-    const auto unchanged_for = book.read_sent - *book.unchanged_since;
-    if (unchanged_for >= book.times.duration + book.times.clock_drift_margin) {
-      book.asked_on_hint = false;
-      return Feed(LooksExpired{});
+    const bool holder_changed = !context.row.holder.empty() &&
+                                !row.holder.empty() &&
+                                context.row.holder != row.holder;
+    if (holder_changed) context.RecordHolderChange();
+    context.row = row;
+    context.row_version = event.row_version;
+    context.suspicion = event.suspicion;
+    if (context.writing) return;
+    const auto& holder = context.row.holder;
+    if (holder.empty() || holder == context.self)
+      return Acquire(AcquireReason::kFree);
+    // The row was unchanged at least until the read was sent.
+    const auto unchanged_for = context.read_sent - *context.unchanged_since;
+    if (unchanged_for >=
+        context.times.duration + context.times.clock_drift_margin) {
+      context.queried_early = false;
+      return Process(LeaseExpired{});
     }
-    FollowDoubt(unchanged_for);
+    HandleSuspicion(unchanged_for);
   }
 
-  /// The row is read on while the holder is asked. A silent one takes up to
-  /// 1.5 s to tell; without these reads each question was a gap in the watch,
-  /// and under a lease of 2 s the wait began anew for ever.
-  void WatchWhileAsking(const RowRead& event) {
-    if (event.row_version != book.row_version) {
-      book.changed_while_asked = true;
+  /// Reads of the row continue during a query. An unresponsive holder takes up
+  /// to 1.5 s to detect; without these reads each query left a gap in the
+  /// watch, and with a lease of 2 s the wait restarted forever.
+  void ObserveDuringQuery(const RowRead& event) {
+    if (event.row_version != context.row_version) {
+      context.changed_during_query = true;
       return;
     }
-    NoteGoodRead();
+    RecordSuccessfulRead();
   }
 
-  /// A candidate that has not seen the row for half a lease watches anew.
-  void NoteGoodRead() {
-    const bool gap = book.now - book.last_good_read > book.times.duration / 2;
-    if (gap || !book.unchanged_since) book.unchanged_since = book.now;
-    book.last_good_read = book.now;
+  /// A candidate that has not read the row for half a lease duration restarts
+  /// its watch.
+  void RecordSuccessfulRead() {
+    const bool gap =
+        context.now - context.last_successful_read > context.times.duration / 2;
+    if (gap || !context.unchanged_since) context.unchanged_since = context.now;
+    context.last_successful_read = context.now;
   }
 
-  /// What the group says of the holder makes a candidate ask it; the answer, or
-  /// the row when there is none, decides.
-  void FollowDoubt(base::Duration unchanged_for) {
-    if (book.suspicion == HolderSuspicion::kNone || !book.MayTakeOnHint())
+  /// A suspected holder is queried; its response, or the row if there is none,
+  /// decides whether the cell is acquired.
+  void HandleSuspicion(base::Duration unchanged_for) {
+    if (context.suspicion == HolderSuspicion::kNone ||
+        !context.MayAcquireEarly())
       return;
-    book.next_step = std::min(book.next_step, book.now + book.ReadPause());
-    const bool was_silent = book.silent_version == book.row_version;
-    if (was_silent && book.suspicion == HolderSuspicion::kDead &&
-        unchanged_for >= book.times.unresponsive_after) {
-      return Take(AcquireReason::kHolderTimedOut);
+    context.next_step =
+        std::min(context.next_step, context.now + context.ReadDelay());
+    const bool had_timed_out = context.timed_out_version == context.row_version;
+    if (had_timed_out && context.suspicion == HolderSuspicion::kDead &&
+        unchanged_for >= context.times.unresponsive_after) {
+      return Acquire(AcquireReason::kHolderTimedOut);
     }
-    if (was_silent && book.now < book.ask_not_before) return;
-    book.asked_on_hint = true;
-    Feed(Doubted{});
+    if (had_timed_out && context.now < context.next_query_at) return;
+    context.queried_early = true;
+    Process(HolderSuspected{});
   }
 
-  void Take(AcquireReason reason) {
-    book.acquire_reason = reason;
-    book.previous_holder = book.row.holder;
-    Feed(Free{});
+  void Acquire(AcquireReason reason) {
+    context.acquire_reason = reason;
+    context.previous_holder = context.row.holder;
+    Process(CellAvailable{});
   }
 
-  /// `reason` when the lease had not run out before the holder was asked.
-  void TakeAfterAsking(AcquireReason reason) {
-    if (book.changed_while_asked) return Feed(HolderLives{});
-    Take(book.asked_on_hint ? reason : AcquireReason::kExpired);
+  /// Uses `reason` only if the lease had not expired before the query.
+  void AcquireAfterQuery(AcquireReason reason) {
+    if (context.changed_during_query) return Process(HolderAlive{});
+    Acquire(context.queried_early ? reason : AcquireReason::kExpired);
   }
 
-  void ResolveTake(const RowRead& event) {
-    const bool ours = event.row && event.row->attempt == book.written.attempt;
-    if (!ours) {
-      Feed(TakeFailed{});
+  void ResolveAcquire(const RowRead& event) {
+    const bool is_ours =
+        event.row && event.row->attempt == context.written.attempt;
+    if (!is_ours) {
+      Process(AcquireFailed{});
       return;
     }
-    book.row_version = event.row_version;
-    book.fence_version = event.fence_version;
-    book.table_failed_at.reset();
+    context.row_version = event.row_version;
+    context.fence_version = event.fence_version;
+    context.table_failed_at.reset();
     Grant();
   }
 
   void Grant() {
-    if (!book.row.holder.empty() && book.row.holder != book.self) {
-      book.NoteChangeOfHands();
+    if (!context.row.holder.empty() && context.row.holder != context.self) {
+      context.RecordHolderChange();
     }
-    book.row = book.written;
-    book.epoch = book.written.epoch;
-    book.valid_until = book.write_sent + book.times.duration;
-    if (book.now >= book.valid_until) return Feed(TakeFailed{});
-    book.next_step = book.write_sent + book.times.renew_interval;
-    Feed(Took{});
-    if (!book.release_wanted) return;
-    Feed(StopAsked{});
+    context.row = context.written;
+    context.epoch = context.written.epoch;
+    context.valid_until = context.write_sent + context.times.duration;
+    if (context.now >= context.valid_until) return Process(AcquireFailed{});
+    context.next_step = context.write_sent + context.times.renew_interval;
+    Process(Acquired{});
+    if (!context.release_requested) return;
+    Process(StopRequested{});
     WriteRelease();
   }
 
   void Renewed() {
-    book.valid_until = book.write_sent + book.times.duration;
-    book.table_failed_at.reset();
-    book.next_step = book.write_sent + book.times.renew_interval;
+    context.valid_until = context.write_sent + context.times.duration;
+    context.table_failed_at.reset();
+    context.next_step = context.write_sent + context.times.renew_interval;
   }
 
   void ResolveRenewal(const RowRead& event) {
-    if (!event.row || !book.IsOurs(*event.row)) {
+    if (!event.row || !context.IsOurs(*event.row)) {
       return Lose("another process has taken the cell");
     }
-    book.row_version = event.row_version;
-    if (event.row->attempt == book.written.attempt) return Renewed();
-    book.WriteOwnRow(book.self, book.epoch, false);
+    context.row_version = event.row_version;
+    if (event.row->attempt == context.written.attempt) return Renewed();
+    context.WriteOwnRow(context.self, context.epoch, false);
   }
 
   void ResolveRelease(const RowRead& event) {
-    if (!event.row || !book.IsOurs(*event.row)) return Feed(Freed{});
-    book.row_version = event.row_version;
+    if (!event.row || !context.IsOurs(*event.row))
+      return Process(RowReleased{});
+    context.row_version = event.row_version;
     WriteRelease();
   }
 
   void WriteRelease() {
-    book.WriteOwnRow(base::Incarnation(), book.epoch, false);
+    context.WriteOwnRow(base::Incarnation(), context.epoch, false);
   }
 
   bool MayAct(base::TimePoint now) const {
     if (!Is(LeasePhase::kHolding)) return false;
-    if (now - book.last_handled > book.times.duration) return false;
-    if (now < book.valid_until) return true;
-    return book.table_failed_at &&
-           now - *book.table_failed_at <= book.times.duration;
+    if (now - context.last_handled > context.times.duration) return false;
+    if (now < context.valid_until) return true;
+    return context.table_failed_at &&
+           now - *context.table_failed_at <= context.times.duration;
   }
 
-  /// A holder that was paused, or whose calls hang, finds out first of all.
-  void CheckLapse() {
-    const bool holds = Is(LeasePhase::kHolding);
-    if (holds && !MayAct(book.now)) return Lose("the lease has lapsed");
+  /// Runs before each event, so that a holder that was paused, or whose calls
+  /// hang, detects the expiry first.
+  void CheckExpiry() {
+    const bool holding = Is(LeasePhase::kHolding);
+    if (holding && !MayAct(context.now)) return Lose("the lease has lapsed");
     const bool releasing = Is(LeasePhase::kReleasing);
-    if (releasing && book.now >= book.valid_until) Feed(Freed{});
+    if (releasing && context.now >= context.valid_until) Process(RowReleased{});
   }
 
   std::vector<LeaseCommand> Handle(const LeaseEvent& event,
                                    base::TimePoint now) {
-    book.now = now;
-    CheckLapse();
-    book.last_handled = now;
-    std::visit([this](const auto& it) { Note(it); }, event);
-    return std::exchange(book.out, {});
+    context.now = now;
+    CheckExpiry();
+    context.last_handled = now;
+    std::visit([this](const auto& it) { Apply(it); }, event);
+    return std::exchange(context.out, {});
   }
 
-  LeaseBook book;
+  LeaseContext context;
   Machine machine;
 };
 
@@ -561,7 +582,7 @@
 CellLease& CellLease::operator=(CellLease&&) noexcept = default;
 
 std::vector<LeaseCommand> CellLease::Begin(base::TimePoint now) {
-  impl_->book.next_step = now;
+  impl_->context.next_step = now;
   return impl_->Handle(LeaseTimerFired{}, now);
 }
 
@@ -570,12 +591,12 @@
   return impl_->Handle(event, now);
 }
 
-base::TimePoint CellLease::wake_at() const { return impl_->book.next_step; }
+base::TimePoint CellLease::wake_at() const { return impl_->context.next_step; }
 
 bool CellLease::MayAct(base::TimePoint now) const { return impl_->MayAct(now); }
 
 bool CellLease::HoldsWithoutTable(base::TimePoint now) const {
-  return impl_->MayAct(now) && impl_->book.table_failed_at.has_value();
+  return impl_->MayAct(now) && impl_->context.table_failed_at.has_value();
 }
 
 HolderState CellLease::state(base::TimePoint now) const {
@@ -584,14 +605,14 @@
                                 : HolderState::kHolding;
 }
 
-Epoch CellLease::epoch() const { return impl_->book.epoch; }
+Epoch CellLease::epoch() const { return impl_->context.epoch; }
 
 const base::Incarnation& CellLease::holder() const {
-  return impl_->book.row.holder;
+  return impl_->context.row.holder;
 }
 
 AcquireReason CellLease::acquire_reason() const {
-  return impl_->book.acquire_reason;
+  return impl_->context.acquire_reason;
 }
 
 }  // namespace lapishatch::lifecycle
--- a/src/lifecycle/cell_lease.h
+++ b/src/lifecycle/cell_lease.h
@@ -13,95 +13,100 @@
 
 namespace lapishatch::lifecycle {
 
-/// What a process answers when it is asked whether it holds a cell.
+/// Response of a process to the query whether it holds a cell.
 enum class HolderState : std::uint8_t {
   kNotHolding,
   kHolding,
-  /// Holds it, but cannot reach the table to renew.
+  /// Holds the cell, but cannot reach the table to renew the lease.
   kHoldingWithoutTable,
 };
 
-/// What a candidate is told of the life that holds a cell, by the group of
-/// processes. A guess, and never enough by itself to take a cell.
+/// Membership's opinion on the incarnation that holds a cell. It may be wrong,
+/// so it never suffices by itself to acquire the cell.
 enum class HolderSuspicion : std::uint8_t {
   kNone,
-  /// It missed probes, or another life answers at its address.
+  /// It missed probes, or another incarnation answers at its address.
   kSuspect,
-  /// Nobody of the group has heard it for long.
+  /// No member of the group has received a message from it for a long time.
   kDead,
 };
 
-/// Why a candidate took a cell.
+/// Why a candidate acquired a cell.
 enum class AcquireReason : std::uint8_t {
-  /// Nobody held it.
+  /// The cell had no holder.
   kFree,
-  /// The row had not changed for a whole lease.
+  /// The row had not changed for a whole lease duration.
   kExpired,
-  /// Doubted, and nobody listens at its address.
+  /// The holder was suspected, and its address refused the connection.
   kConnectionRefused,
-  /// Doubted, and the process at its address says that it does not hold it.
+  /// The holder was suspected, and the process at its address reported that it
+  /// does not hold the cell.
   kNotHolding,
-  /// Held for dead, silent to this process over a fresh connection, and it has
-  /// missed a renewal.
+  /// The holder was considered dead, did not respond to this process over a
+  /// fresh connection, and had missed a renewal.
   kHolderTimedOut,
 };
 
-/// Whether the cell was taken before the lease of its holder had run out.
+/// Whether the cell was acquired before the lease of its holder expired.
 constexpr bool IsEarlyAcquire(AcquireReason reason) {
   return reason != AcquireReason::kFree && reason != AcquireReason::kExpired;
 }
 
 struct LeaseTiming {
-  /// A row unchanged for this long has no live holder.
+  /// The lease expires when its row has not changed for this long.
   base::Duration duration{10'000};
-  /// Added by candidates, for clocks that run at different rates.
+  /// Added to the duration by candidates, for clocks that run at different
+  /// rates.
   base::Duration clock_drift_margin{500};
-  /// Between the holder's renewals.
+  /// Time between the holder's renewals.
   base::Duration renew_interval{3'000};
-  /// Between a candidate's reads, and between tries when the table fails.
+  /// Time between a candidate's reads, and between retries when the table
+  /// fails.
   base::Duration read_interval{2'000};
-  /// Between a candidate's reads while the holder is doubted.
+  /// Time between a candidate's reads while the holder is suspected.
   base::Duration suspect_read_interval{250};
-  /// A doubted holder that is silent counts as gone when its row has not
-  /// changed for this long: longer than it takes to renew.
+  /// An unresponsive holder that is considered dead loses the cell when its row
+  /// has not changed for this long. It must exceed the renewal interval.
   base::Duration unresponsive_after{4'500};
-  /// After the cell has changed hands without a release, hints take it no more
-  /// for so long; doubled by each further change, up to the limit.
+  /// Time after a change of holder without a release in which the cell is not
+  /// acquired before its lease expires. Each further change doubles it, up to
+  /// the limit.
   base::Duration early_acquire_pause{30'000};
   base::Duration early_acquire_pause_limit{480'000};
 };
 
-/// A cell's row: who holds the cell.
+/// Row of a cell in the table; names the holder.
 struct HolderRow {
   /// Empty after a planned release.
   base::Incarnation holder;
-  /// Where the holder answers, as "address:port".
+  /// Address of the holder, as "address:port".
   std::string endpoint;
   Epoch epoch = 0;
-  /// Of the write that made this row.
+  /// Identifies the write that produced this row.
   base::AttemptId attempt;
 };
 
-// What happens to a lease.
+// Events of a lease.
 
-/// The row was read, and the fence (the row that changes only with the owner)
-/// when the row names this process.
+/// The row was read. The fence, a row that changes only when the owner changes,
+/// was read too when the row names this process.
 struct RowRead {
   std::optional<HolderRow> row;
   std::uint64_t row_version = 0;
   std::uint64_t fence_version = 0;
-  /// What the group says of the row's holder by now.
+  /// Current suspicion of the row's holder, from membership.
   HolderSuspicion suspicion = HolderSuspicion::kNone;
 };
 struct RowReadFailed {};
-/// The last write took effect. `fence_version` counts when it was a take.
+/// The last write took effect. `fence_version` is valid only if the write
+/// acquired the cell.
 struct RowWritten {
   std::uint64_t row_version = 0;
   std::uint64_t fence_version = 0;
 };
-/// The last write met another version of a row and had no effect.
+/// The last write had no effect, since a row had another version.
 struct RowWriteConflict {};
-/// The last write certainly had no effect: the table is out.
+/// The last write certainly had no effect, since the table is unavailable.
 struct RowWriteFailed {};
 /// The last write may or may not have taken effect.
 struct RowWriteUnknown {};
@@ -109,15 +114,15 @@
   HolderState state = HolderState::kNotHolding;
 };
 struct HolderTimedOut {};
-/// Nobody listens at the holder's address.
+/// The holder's address refused the connection.
 struct HolderConnectionRefused {};
-/// A worker or the table has seen a later owner.
+/// A worker or the table has seen a higher epoch.
 struct EpochRejected {
   Epoch epoch_seen = 0;
 };
-/// Planned stop.
+/// A planned stop was requested.
 struct ReleaseRequested {};
-/// Look at the row at once.
+/// Requests an immediate read of the row.
 struct ReadRequested {};
 struct LeaseTimerFired {};
 
@@ -127,12 +132,12 @@
                  HolderTimedOut, HolderConnectionRefused, EpochRejected,
                  ReleaseRequested, ReadRequested, LeaseTimerFired>;
 
-// What is to be done for a lease.
+// Commands of a lease.
 
-/// Read the cell's row and its fence. Answer: RowRead or RowReadFailed.
+/// Reads the cell's row and its fence. The result is RowRead or RowReadFailed.
 struct ReadRow {};
-/// Write `row` on condition that it has `row_version`; the fence too, in the
-/// same transaction, when `take`.
+/// Writes `row` if its stored version is `row_version`. When `acquire` is set,
+/// the same transaction writes the fence too.
 struct WriteRow {
   HolderRow row;
   std::uint64_t row_version = 0;
@@ -142,15 +147,17 @@
   std::string endpoint;
   base::Incarnation holder;
 };
-/// The cell is ours under this epoch. Records are conditional on the fence.
+/// This process holds the cell under this epoch. Writes of records are
+/// conditional on the fence.
 struct LeaseGranted {
   Epoch epoch = 0;
   std::uint64_t fence_version = 0;
   AcquireReason reason = AcquireReason::kFree;
-  /// Who held it before; empty when nobody did.
+  /// Empty if the cell had no previous holder.
   base::Incarnation previous_holder;
 };
-/// The cell is ours no longer: drop everything, send nothing.
+/// This process no longer holds the cell: it must discard the cell's state and
+/// send nothing.
 struct LeaseLost {
   std::string reason;
 };
@@ -159,13 +166,14 @@
 using LeaseCommand = std::variant<ReadRow, WriteRow, QueryHolder, LeaseGranted,
                                   LeaseLost, LeaseReleased>;
 
-/// One process's view of the lease of one cell, as candidate and holder. Pure:
-/// every call is given the time of this process's monotonic clock. A holder's
-/// lease is counted from before its write was sent, a candidate's wait from
-/// after its read was answered, so the two never overlap while clocks run at
-/// rates closer than `margin` in `length`. A take on a hint gives that up: then
-/// two may believe to hold the cell for as long as a lease, and only the fence
-/// and the epochs at the workers decide.
+/// State machine for the lease of one cell in one process, as candidate and as
+/// holder. It performs no I/O; each call passes the time of this process's
+/// monotonic clock. A holder's lease starts before its write is sent and a
+/// candidate's wait starts after its read completes, so two leases never
+/// overlap while clock rates differ by less than `clock_drift_margin` per
+/// `duration`. An early acquisition gives up this guarantee: two processes may
+/// consider themselves holders for up to one lease duration, and only the fence
+/// and the epochs at the workers exclude the old one.
 class CellLease {
  public:
   CellLease(base::Incarnation self, std::string endpoint, LeaseTiming times);
@@ -173,28 +181,29 @@
   CellLease(CellLease&&) noexcept;
   CellLease& operator=(CellLease&&) noexcept;
 
-  /// Begins to follow the row.
+  /// Starts reading the row.
   std::vector<LeaseCommand> Begin(base::TimePoint now);
 
   std::vector<LeaseCommand> Handle(const LeaseEvent& event,
                                    base::TimePoint now);
 
-  /// When a LeaseTimerFired is due.
+  /// Time at which a LeaseTimerFired event is due.
   base::TimePoint wake_at() const;
 
-  /// Whether the holder may act at `now`: its lease runs, or the table has
-  /// been failing under its eyes without a gap as long as a lease. To be asked
-  /// after the work and before each send.
+  /// Whether the holder may act at `now`: its lease is valid, or each attempt
+  /// to reach the table has failed, with less than a lease duration between
+  /// failures. Check it after the work and before each send.
   bool MayAct(base::TimePoint now) const;
 
-  /// Whether the lease is held and has gone unrenewed because the table is out.
+  /// Whether the lease is held without renewal because the table is
+  /// unavailable.
   bool HoldsWithoutTable(base::TimePoint now) const;
 
   HolderState state(base::TimePoint now) const;
   Epoch epoch() const;
-  /// The holder by the row last read or written.
+  /// The holder named in the row last read or written.
   const base::Incarnation& holder() const;
-  /// Why the cell was taken last by this process.
+  /// Why this process last acquired the cell.
   AcquireReason acquire_reason() const;
 
  private:
--- a/src/lifecycle/gang_state_machine.cc
+++ b/src/lifecycle/gang_state_machine.cc
@@ -14,21 +14,22 @@
 using msm::front::none;
 using msm::front::Row;
 
-// What the machine sees: conclusions from the book of members, and requests.
-struct Begun {};
-struct AdoptedWhole {};
+// Internal events of the state machine, derived from the members' states and
+// from requests.
+struct Started {};
+struct AdoptedComplete {};
 struct AllReserved {};
 struct Recorded {};
 struct AllStarted {};
 struct AllFinished {};
 struct AllCheckpointed {};
 struct AllGone {};
-/// The gang cannot run whole any more; the cause stands in the book.
-struct Broken {};
+/// The gang cannot run with all of its members; the context holds the cause.
+struct Aborted {};
 struct Evicted {};
-struct StepTimeout {};
+struct StateTimeout {};
 
-/// What is known of one member.
+/// Last known state of one member.
 struct Member {
   MemberState state = MemberState::kReserveSent;
   bool may_have_run = false;
@@ -36,8 +37,8 @@
   std::string checkpoint;
 };
 
-/// Everything the machine's actions work on.
-struct GangBook {
+/// Data that the state machine's actions use.
+struct GangContext {
   std::vector<Member> members;
   bool can_checkpoint = false;
   GangTimeouts times;
@@ -47,20 +48,20 @@
   GangOutcome outcome = GangOutcome::kAborted;
   std::string reason;
   int failed_member = -1;
-  /// Whether the cause of the end is settled: the first one counts.
+  /// Whether the cause of the end is set; the first cause is kept.
   bool cause_known = false;
   std::vector<GangCommand> out;
 
-  void Blame(GangOutcome kind, std::string why, int task) {
+  void SetCause(GangOutcome cause, std::string description, int task) {
     if (cause_known) return;
     cause_known = true;
-    outcome = kind;
-    reason = std::move(why);
+    outcome = cause;
+    reason = std::move(description);
     failed_member = task;
   }
 };
 
-bool Ended(const Member& member) {
+bool HasEnded(const Member& member) {
   return member.state == MemberState::kFinished ||
          member.state == MemberState::kGone ||
          member.state == MemberState::kLost;
@@ -84,117 +85,120 @@
 }
 
 template <typename Test>
-bool EveryMember(const GangBook& book, Test test) {
-  return std::all_of(book.members.begin(), book.members.end(), test);
+bool EveryMember(const GangContext& context, Test test) {
+  return std::all_of(context.members.begin(), context.members.end(), test);
 }
 
-/// The checkpoints of all members, or none when one is missing.
-std::vector<std::string> WholeCheckpoint(const GangBook& book) {
+/// The checkpoints of all members; empty if any is missing.
+std::vector<std::string> CompleteCheckpoint(const GangContext& context) {
   std::vector<std::string> out;
-  for (const auto& member : book.members) {
+  for (const auto& member : context.members) {
     if (member.checkpoint.empty()) return {};
     out.push_back(member.checkpoint);
   }
   return out;
 }
 
-GangEnded EndOf(const GangBook& book) {
+GangEnded MakeGangEnded(const GangContext& context) {
   GangEnded ended;
-  ended.outcome = book.outcome;
-  ended.reason = book.reason;
-  ended.failed_member = book.failed_member;
+  ended.outcome = context.outcome;
+  ended.reason = context.reason;
+  ended.failed_member = context.failed_member;
   ended.may_have_run =
-      std::any_of(book.members.begin(), book.members.end(),
+      std::any_of(context.members.begin(), context.members.end(),
                   [](const Member& it) { return it.may_have_run; });
-  ended.checkpoints = WholeCheckpoint(book);
-  if (!EveryMember(book, HasFinished)) return ended;
+  ended.checkpoints = CompleteCheckpoint(context);
+  if (!EveryMember(context, HasFinished)) return ended;
   ended.outcome = GangOutcome::kFinished;
   ended.reason.clear();
   return ended;
 }
 
-/// Adds one command that carries nothing.
+/// Emits one command that has no data.
 template <typename Command>
 struct Emit {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    fsm.book->out.push_back(Command{});
+    fsm.context->out.push_back(Command{});
   }
 };
 
 struct EmitStart {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    for (auto& member : fsm.book->members) {
+    for (auto& member : fsm.context->members) {
       member.state = MemberState::kStartSent;
       member.may_have_run = true;
     }
-    fsm.book->out.push_back(StartMembers{});
+    fsm.context->out.push_back(StartMembers{});
   }
 };
 
 struct EmitCheckpoint {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    for (auto& member : fsm.book->members) member.checkpoint_answered = false;
-    fsm.book->out.push_back(CheckpointMembers{});
+    for (auto& member : fsm.context->members)
+      member.checkpoint_answered = false;
+    fsm.context->out.push_back(CheckpointMembers{});
   }
 };
 
-struct BlameTimeout {
+struct AbortOnTimeout {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    auto& book = *fsm.book;
+    auto& context = *fsm.context;
     int failed_member = -1;
-    for (std::size_t i = 0; i < book.members.size() && failed_member < 0; ++i) {
-      const auto state = book.members[i].state;
-      const bool silent = state == MemberState::kReserveSent ||
-                          state == MemberState::kStartSent;
-      if (silent) failed_member = static_cast<int>(i);
+    for (std::size_t i = 0; i < context.members.size() && failed_member < 0;
+         ++i) {
+      const auto state = context.members[i].state;
+      const bool unanswered = state == MemberState::kReserveSent ||
+                              state == MemberState::kStartSent;
+      if (unanswered) failed_member = static_cast<int>(i);
     }
-    book.Blame(
+    context.SetCause(
         GangOutcome::kAborted,
-        "no answer in time while " + std::string(base::NameOf(book.phase)),
+        "no answer in time while " + std::string(base::NameOf(context.phase)),
         failed_member);
-    book.out.push_back(StopMembers{});
+    context.out.push_back(StopMembers{});
   }
 };
 
-/// The grace of an eviction is over: stop without a whole checkpoint.
-struct StopLate {
+/// Stops the gang without a complete checkpoint after an eviction's grace
+/// period.
+struct StopAfterGrace {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    fsm.book->out.push_back(StopMembers{});
+    fsm.context->out.push_back(StopMembers{});
   }
 };
 
 struct CanCheckpoint {
   template <typename Event, typename Fsm, typename From, typename To>
   bool operator()(const Event&, Fsm& fsm, From&, To&) {
-    return fsm.book->can_checkpoint;
+    return fsm.context->can_checkpoint;
   }
 };
 
 struct CannotCheckpoint {
   template <typename Event, typename Fsm, typename From, typename To>
   bool operator()(const Event&, Fsm& fsm, From&, To&) {
-    return !fsm.book->can_checkpoint;
+    return !fsm.context->can_checkpoint;
   }
 };
 
-/// A state that notes its phase and the time by which it must be left.
+/// A state that records its phase and its deadline.
 template <GangPhase kPhase>
-struct Step : msm::front::state<> {
+struct TimedState : msm::front::state<> {
   template <typename Event, typename Fsm>
   void on_entry(const Event&, Fsm& fsm) {
-    auto& book = *fsm.book;
-    book.phase = kPhase;
-    book.wake_at.reset();
-    const auto limit = LimitOf(book.times);
-    if (limit) book.wake_at = book.now + *limit;
+    auto& context = *fsm.context;
+    context.phase = kPhase;
+    context.wake_at.reset();
+    const auto timeout = TimeoutOf(context.times);
+    if (timeout) context.wake_at = context.now + *timeout;
   }
 
-  static std::optional<base::Duration> LimitOf(const GangTimeouts& times) {
+  static std::optional<base::Duration> TimeoutOf(const GangTimeouts& times) {
     switch (kPhase) {
       case GangPhase::kReserving:
         return times.reserve_timeout;
@@ -213,57 +217,57 @@
   }
 };
 
-struct Over : Step<GangPhase::kEnded> {
+struct EndedState : TimedState<GangPhase::kEnded> {
   template <typename Event, typename Fsm>
   void on_entry(const Event& event, Fsm& fsm) {
-    Step<GangPhase::kEnded>::on_entry(event, fsm);
-    fsm.book->out.push_back(EndOf(*fsm.book));
+    TimedState<GangPhase::kEnded>::on_entry(event, fsm);
+    fsm.context->out.push_back(MakeGangEnded(*fsm.context));
   }
 };
 
 struct GangDef : msm::front::state_machine_def<GangDef> {
   struct Idle : msm::front::state<> {};
-  using Reserving = Step<GangPhase::kReserving>;
-  using Recording = Step<GangPhase::kRecording>;
-  using Starting = Step<GangPhase::kStarting>;
-  using Running = Step<GangPhase::kRunning>;
-  using Checkpointing = Step<GangPhase::kCheckpointing>;
-  using Stopping = Step<GangPhase::kStopping>;
+  using Reserving = TimedState<GangPhase::kReserving>;
+  using Recording = TimedState<GangPhase::kRecording>;
+  using Starting = TimedState<GangPhase::kStarting>;
+  using Running = TimedState<GangPhase::kRunning>;
+  using Checkpointing = TimedState<GangPhase::kCheckpointing>;
+  using Stopping = TimedState<GangPhase::kStopping>;
   using initial_state = Idle;
 
   // clang-format off
   struct transition_table : mpl::vector<  // NOLINT(readability-identifier-naming)
-    Row<Idle,          Begun,           Reserving,     Emit<ReserveMembers>, none>,
-    Row<Idle,          AdoptedWhole,    Running,       none,                 none>,
-    Row<Idle,          Broken,          Stopping,      Emit<StopMembers>,    none>,
+    Row<Idle,          Started,           Reserving,     Emit<ReserveMembers>, none>,
+    Row<Idle,          AdoptedComplete,    Running,       none,                 none>,
+    Row<Idle,          Aborted,          Stopping,      Emit<StopMembers>,    none>,
     Row<Reserving,     AllReserved,     Recording,     Emit<RecordIntent>,   none>,
-    Row<Reserving,     Broken,          Stopping,      Emit<StopMembers>,    none>,
+    Row<Reserving,     Aborted,          Stopping,      Emit<StopMembers>,    none>,
     Row<Reserving,     Evicted,         Stopping,      Emit<StopMembers>,    none>,
-    Row<Reserving,     StepTimeout,     Stopping,      BlameTimeout,         none>,
+    Row<Reserving,     StateTimeout,     Stopping,      AbortOnTimeout,         none>,
     Row<Recording,     Recorded,        Starting,      EmitStart,            none>,
-    Row<Recording,     Broken,          Stopping,      Emit<StopMembers>,    none>,
+    Row<Recording,     Aborted,          Stopping,      Emit<StopMembers>,    none>,
     Row<Recording,     Evicted,         Stopping,      Emit<StopMembers>,    none>,
-    Row<Recording,     StepTimeout,     Stopping,      BlameTimeout,         none>,
+    Row<Recording,     StateTimeout,     Stopping,      AbortOnTimeout,         none>,
     Row<Starting,      AllStarted,      Running,       Emit<ConfirmMembers>, none>,
-    Row<Starting,      Broken,          Stopping,      Emit<StopMembers>,    none>,
+    Row<Starting,      Aborted,          Stopping,      Emit<StopMembers>,    none>,
     Row<Starting,      Evicted,         Stopping,      Emit<StopMembers>,    none>,
-    Row<Starting,      StepTimeout,     Stopping,      BlameTimeout,         none>,
-    Row<Running,       AllFinished,     Over,          none,                 none>,
-    Row<Running,       Broken,          Stopping,      Emit<StopMembers>,    none>,
+    Row<Starting,      StateTimeout,     Stopping,      AbortOnTimeout,         none>,
+    Row<Running,       AllFinished,     EndedState,          none,                 none>,
+    Row<Running,       Aborted,          Stopping,      Emit<StopMembers>,    none>,
     Row<Running,       Evicted,         Checkpointing, EmitCheckpoint,       CanCheckpoint>,
     Row<Running,       Evicted,         Stopping,      Emit<StopMembers>,    CannotCheckpoint>,
-    Row<Checkpointing, AllFinished,     Over,          none,                 none>,
+    Row<Checkpointing, AllFinished,     EndedState,          none,                 none>,
     Row<Checkpointing, AllCheckpointed, Stopping,      Emit<StopMembers>,    none>,
-    Row<Checkpointing, Broken,          Stopping,      Emit<StopMembers>,    none>,
-    Row<Checkpointing, StepTimeout,     Stopping,      StopLate,             none>,
-    Row<Stopping,      AllGone,         Over,          none,                 none>
+    Row<Checkpointing, Aborted,          Stopping,      Emit<StopMembers>,    none>,
+    Row<Checkpointing, StateTimeout,     Stopping,      StopAfterGrace,             none>,
+    Row<Stopping,      AllGone,         EndedState,          none,                 none>
   > {};
   // clang-format on
 
   template <typename Event, typename Fsm>
   void no_transition(const Event&, Fsm&, int) {}
 
-  GangBook* book = nullptr;
+  GangContext* context = nullptr;
 };
 
 using Machine = msm::back::state_machine<GangDef>;
@@ -272,127 +276,130 @@
 
 struct GangStateMachine::Impl {
   Impl(int tasks, bool can_checkpoint, GangTimeouts times) {
-    book.members.resize(static_cast<std::size_t>(tasks));
-    book.can_checkpoint = can_checkpoint;
-    book.times = times;
-    machine.book = &book;
+    context.members.resize(static_cast<std::size_t>(tasks));
+    context.can_checkpoint = can_checkpoint;
+    context.times = times;
+    machine.context = &context;
     machine.start();
   }
 
   template <typename Event>
-  void Feed(const Event& event) {
+  void Process(const Event& event) {
     machine.process_event(event);
   }
 
   Member& MemberOf(int task) {
-    return book.members.at(static_cast<std::size_t>(task));
+    return context.members.at(static_cast<std::size_t>(task));
   }
 
-  // Each Note writes one event into the book and feeds what follows from it.
+  // Each Apply records one event in the context and processes the resulting
+  // internal events.
 
-  void Note(const MemberReserved& event) {
+  void Apply(const MemberReserved& event) {
     auto& member = MemberOf(event.task);
     if (member.state != MemberState::kReserveSent) return;
     member.state = MemberState::kReserved;
-    if (EveryMember(book, HasReserved)) Feed(AllReserved{});
+    if (EveryMember(context, HasReserved)) Process(AllReserved{});
   }
 
-  void Note(const MemberRefused& event) {
+  void Apply(const MemberRefused& event) {
     auto& member = MemberOf(event.task);
-    if (HasStarted(member) || Ended(member)) return;
+    if (HasStarted(member) || HasEnded(member)) return;
     member.state = MemberState::kGone;
     member.may_have_run = false;
-    book.Blame(GangOutcome::kAborted, event.reason, event.task);
-    Feed(Broken{});
+    context.SetCause(GangOutcome::kAborted, event.reason, event.task);
+    Process(Aborted{});
   }
 
-  void Note(const MemberStarted& event) {
+  void Apply(const MemberStarted& event) {
     auto& member = MemberOf(event.task);
     if (member.state != MemberState::kStartSent) return;
     member.state = MemberState::kRunning;
-    if (EveryMember(book, HasStarted)) Feed(AllStarted{});
+    if (EveryMember(context, HasStarted)) Process(AllStarted{});
   }
 
-  void Note(const MemberFinished& event) {
+  void Apply(const MemberFinished& event) {
     auto& member = MemberOf(event.task);
     member.state = MemberState::kFinished;
     member.may_have_run = true;
-    if (EveryMember(book, HasStarted)) Feed(AllStarted{});
-    if (EveryMember(book, HasFinished)) Feed(AllFinished{});
+    if (EveryMember(context, HasStarted)) Process(AllStarted{});
+    if (EveryMember(context, HasFinished)) Process(AllFinished{});
   }
 
-  void Note(const MemberFailed& event) {
+  void Apply(const MemberFailed& event) {
     auto& member = MemberOf(event.task);
     member.state = MemberState::kGone;
-    book.Blame(GangOutcome::kFailed, event.reason, event.task);
-    Feed(Broken{});
+    context.SetCause(GangOutcome::kFailed, event.reason, event.task);
+    Process(Aborted{});
   }
 
-  void Note(const MemberGone& event) {
+  void Apply(const MemberGone& event) {
     auto& member = MemberOf(event.task);
-    if (Ended(member)) return;
-    const bool sure = event.never_started && !HasStarted(member);
-    if (sure) member.may_have_run = false;
+    if (HasEnded(member)) return;
+    const bool surely_not_started = event.never_started && !HasStarted(member);
+    if (surely_not_started) member.may_have_run = false;
     member.state = MemberState::kGone;
-    book.Blame(GangOutcome::kAborted, "a member stopped by itself", event.task);
-    Feed(Broken{});
+    context.SetCause(GangOutcome::kAborted, "a member stopped by itself",
+                     event.task);
+    Process(Aborted{});
   }
 
-  void Note(const MemberLost& event) {
+  void Apply(const MemberLost& event) {
     auto& member = MemberOf(event.task);
-    if (Ended(member)) return;
+    if (HasEnded(member)) return;
     member.state = MemberState::kLost;
-    book.Blame(GangOutcome::kAborted, event.reason, event.task);
-    Feed(Broken{});
+    context.SetCause(GangOutcome::kAborted, event.reason, event.task);
+    Process(Aborted{});
   }
 
-  void Note(const MemberCheckpointed& event) {
+  void Apply(const MemberCheckpointed& event) {
     auto& member = MemberOf(event.task);
     member.checkpoint = event.object;
     member.checkpoint_answered = true;
-    if (EveryMember(book, HasCheckpointed)) Feed(AllCheckpointed{});
+    if (EveryMember(context, HasCheckpointed)) Process(AllCheckpointed{});
   }
 
-  void Note(const CheckpointRefused& event) {
+  void Apply(const CheckpointRefused& event) {
     MemberOf(event.task).checkpoint_answered = true;
-    if (EveryMember(book, HasCheckpointed)) Feed(AllCheckpointed{});
+    if (EveryMember(context, HasCheckpointed)) Process(AllCheckpointed{});
   }
 
-  void Note(const IntentRecorded&) { Feed(Recorded{}); }
+  void Apply(const IntentRecorded&) { Process(Recorded{}); }
 
-  void Note(const IntentNotRecorded& event) {
-    if (book.phase != GangPhase::kRecording) return;
-    book.Blame(GangOutcome::kAborted, event.reason, -1);
-    Feed(Broken{});
+  void Apply(const IntentNotRecorded& event) {
+    if (context.phase != GangPhase::kRecording) return;
+    context.SetCause(GangOutcome::kAborted, event.reason, -1);
+    Process(Aborted{});
   }
 
-  void Note(const EvictRequested& event) {
-    if (book.phase == GangPhase::kEnded) return;
-    book.Blame(GangOutcome::kEvicted, event.reason, -1);
-    Feed(Evicted{});
+  void Apply(const EvictRequested& event) {
+    if (context.phase == GangPhase::kEnded) return;
+    context.SetCause(GangOutcome::kEvicted, event.reason, -1);
+    Process(Evicted{});
   }
 
-  void Note(const CancelRequested& event) {
-    if (book.phase == GangPhase::kEnded) return;
-    book.cause_known = false;
-    book.Blame(GangOutcome::kCancelled, event.reason, -1);
-    Feed(Broken{});
+  void Apply(const CancelRequested& event) {
+    if (context.phase == GangPhase::kEnded) return;
+    context.cause_known = false;
+    context.SetCause(GangOutcome::kCancelled, event.reason, -1);
+    Process(Aborted{});
   }
 
-  void Note(const GangTimerFired&) {
-    if (!book.wake_at || book.now < *book.wake_at) return;
-    book.wake_at.reset();
-    Feed(StepTimeout{});
+  void Apply(const GangTimerFired&) {
+    if (!context.wake_at || context.now < *context.wake_at) return;
+    context.wake_at.reset();
+    Process(StateTimeout{});
   }
 
-  std::vector<GangCommand> Settle() {
-    if (book.phase == GangPhase::kStopping && EveryMember(book, Ended)) {
-      Feed(AllGone{});
+  std::vector<GangCommand> TakeCommands() {
+    if (context.phase == GangPhase::kStopping &&
+        EveryMember(context, HasEnded)) {
+      Process(AllGone{});
     }
-    return std::exchange(book.out, {});
+    return std::exchange(context.out, {});
   }
 
-  GangBook book;
+  GangContext context;
   Machine machine;
 };
 
@@ -405,48 +412,48 @@
     default;
 
 std::vector<GangCommand> GangStateMachine::Begin(base::TimePoint now) {
-  impl_->book.now = now;
-  impl_->Feed(Begun{});
-  return impl_->Settle();
+  impl_->context.now = now;
+  impl_->Process(Started{});
+  return impl_->TakeCommands();
 }
 
 std::vector<GangCommand> GangStateMachine::Adopt(
     std::vector<MemberState> members, base::TimePoint now) {
-  auto& book = impl_->book;
-  book.now = now;
-  bool whole = true;
-  for (std::size_t i = 0; i < book.members.size(); ++i) {
-    auto& member = book.members[i];
+  auto& context = impl_->context;
+  context.now = now;
+  bool complete = true;
+  for (std::size_t i = 0; i < context.members.size(); ++i) {
+    auto& member = context.members[i];
     member.state = members.at(i);
     const bool never_ran = member.state == MemberState::kReserved ||
                            member.state == MemberState::kGone;
     member.may_have_run = !never_ran;
     if (HasStarted(member)) continue;
-    whole = false;
-    book.Blame(GangOutcome::kAborted, "a member did not run when found",
-               static_cast<int>(i));
+    complete = false;
+    context.SetCause(GangOutcome::kAborted, "a member did not run when found",
+                     static_cast<int>(i));
   }
-  if (whole) {
-    impl_->Feed(AdoptedWhole{});
+  if (complete) {
+    impl_->Process(AdoptedComplete{});
   } else {
-    impl_->Feed(Broken{});
+    impl_->Process(Aborted{});
   }
-  if (EveryMember(book, HasFinished)) impl_->Feed(AllFinished{});
-  return impl_->Settle();
+  if (EveryMember(context, HasFinished)) impl_->Process(AllFinished{});
+  return impl_->TakeCommands();
 }
 
 std::vector<GangCommand> GangStateMachine::Handle(const GangEvent& event,
                                                   base::TimePoint now) {
-  impl_->book.now = now;
-  std::visit([this](const auto& it) { impl_->Note(it); }, event);
-  return impl_->Settle();
+  impl_->context.now = now;
+  std::visit([this](const auto& it) { impl_->Apply(it); }, event);
+  return impl_->TakeCommands();
 }
 
 std::optional<base::TimePoint> GangStateMachine::wake_at() const {
-  return impl_->book.wake_at;
+  return impl_->context.wake_at;
 }
 
-GangPhase GangStateMachine::phase() const { return impl_->book.phase; }
+GangPhase GangStateMachine::phase() const { return impl_->context.phase; }
 
 MemberState GangStateMachine::member(int task) const {
   return impl_->MemberOf(task).state;
--- a/src/lifecycle/gang_state_machine.h
+++ b/src/lifecycle/gang_state_machine.h
@@ -14,12 +14,12 @@
 
 namespace lapishatch::lifecycle {
 
-/// How long each step of a gang may take before the whole gang stops.
+/// Time limits of a gang's steps; the whole gang stops when one is exceeded.
 struct GangTimeouts {
   base::Duration reserve_timeout{3'000};
   base::Duration record_timeout{4'000};
   base::Duration start_timeout{4'000};
-  /// Grace of an eviction.
+  /// Grace period of an eviction, for checkpoints.
   base::Duration checkpoint_timeout{3'500};
 };
 
@@ -33,37 +33,37 @@
   kEnded,
 };
 
-/// Why a gang ended.
+/// How a gang ended.
 enum class GangOutcome : std::uint8_t {
   /// Every member finished.
   kFinished,
   /// A member failed.
   kFailed,
-  /// A member was refused, lost, or did not answer in time.
+  /// A member was refused, lost, or did not respond in time.
   kAborted,
   kEvicted,
   kCancelled,
 };
 
-/// What is known of one member.
+/// Last known state of one member.
 enum class MemberState : std::uint8_t {
   kReserveSent,
   kReserved,
   kStartSent,
   kRunning,
   kFinished,
-  /// Its worker holds nothing of it any more.
+  /// Its worker holds no resources for it.
   kGone,
-  /// Its worker restarted or is not reached: what became of it is not known.
+  /// Its worker restarted or cannot be reached, so its state is unknown.
   kLost,
 };
 
-// What happens to a gang.
+// Events of a gang.
 
 struct MemberReserved {
   int task = 0;
 };
-/// The worker did not carry out a reservation or start.
+/// The worker did not execute a reservation or start.
 struct MemberRefused {
   int task = 0;
   std::string reason;
@@ -78,10 +78,11 @@
   int task = 0;
   std::string reason;
 };
-/// The worker holds nothing of the member: stopped, or never there.
+/// The worker holds no resources for the member, which stopped or never existed
+/// there.
 struct MemberGone {
   int task = 0;
-  /// The worker's own word that it never began.
+  /// Whether the worker reported that the member never started.
   bool never_started = false;
 };
 struct MemberLost {
@@ -96,7 +97,7 @@
   int task = 0;
 };
 struct IntentRecorded {};
-/// The intent is certainly not in force, or could not be written in time.
+/// The intent is certainly not recorded, or was not recorded in time.
 struct IntentNotRecorded {
   std::string reason;
 };
@@ -114,24 +115,24 @@
                  CheckpointRefused, IntentRecorded, IntentNotRecorded,
                  EvictRequested, CancelRequested, GangTimerFired>;
 
-// What is to be done for a gang.
+// Commands of a gang.
 
 struct ReserveMembers {};
 struct RecordIntent {};
 struct StartMembers {};
-/// Every member runs: give them the running lease.
+/// Gives the members the lease of running tasks, once all of them run.
 struct ConfirmMembers {};
 struct CheckpointMembers {};
-/// Stop or release every member that may hold anything.
+/// Stops or releases every member that may hold resources.
 struct StopMembers {};
 struct GangEnded {
   GangOutcome outcome = GangOutcome::kAborted;
   std::string reason;
-  /// Some member may have begun its work.
+  /// Whether any member may have started its work.
   bool may_have_run = false;
-  /// The member that broke the gang, or -1.
+  /// Index of the member that caused the end, or -1.
   int failed_member = -1;
-  /// One complete checkpoint per member, or none.
+  /// One complete checkpoint per member; empty if any is missing.
   std::vector<std::string> checkpoints;
 };
 
@@ -139,7 +140,8 @@
     std::variant<ReserveMembers, RecordIntent, StartMembers, ConfirmMembers,
                  CheckpointMembers, StopMembers, GangEnded>;
 
-/// One attempt to run one gang: all of its members, or none. Pure.
+/// State machine for one attempt to run a gang, with all of its members or
+/// none. It performs no I/O.
 class GangStateMachine {
  public:
   GangStateMachine(int tasks, bool can_checkpoint, GangTimeouts times);
@@ -147,18 +149,19 @@
   GangStateMachine(GangStateMachine&&) noexcept;
   GangStateMachine& operator=(GangStateMachine&&) noexcept;
 
-  /// A new attempt.
+  /// Starts a new attempt.
   std::vector<GangCommand> Begin(base::TimePoint now);
 
-  /// An attempt of an earlier owner, with what its workers say of each member
-  /// (kRunning for one whose worker is not reached yet: it may run). Goes on
-  /// when every member runs or has finished; otherwise the whole gang stops.
+  /// Takes over an attempt of a previous owner, with the state that the workers
+  /// report for each member. A member whose worker has not been reached yet is
+  /// kRunning, since it may run. The gang continues if every member runs or has
+  /// finished; otherwise the whole gang stops.
   std::vector<GangCommand> Adopt(std::vector<MemberState> members,
                                  base::TimePoint now);
 
   std::vector<GangCommand> Handle(const GangEvent& event, base::TimePoint now);
 
-  /// When a GangTimerFired is due, if ever.
+  /// Time at which a GangTimerFired event is due, if any.
   std::optional<base::TimePoint> wake_at() const;
 
   GangPhase phase() const;
--- a/src/lifecycle/worker_protocol.h
+++ b/src/lifecycle/worker_protocol.h
@@ -13,11 +13,11 @@
 
 namespace lapishatch::lifecycle {
 
-/// Grows by one with each new owner of a cell. A worker refuses commands below
-/// the highest it has seen.
+/// Number of a cell's owner, higher for each new owner. A worker rejects
+/// commands with an epoch below the highest that it has seen.
 using Epoch = std::uint64_t;
 
-/// Names one task of one attempt of one job on a worker.
+/// Identifies one task of one attempt of one job on a worker.
 struct TaskKey {
   base::JobName job;
   base::AttemptId attempt;
@@ -26,8 +26,8 @@
   friend auto operator<=>(const TaskKey&, const TaskKey&) = default;
 };
 
-/// Holds accelerators, cores and memory for a task; nothing runs. Lapses after
-/// `lease` unless started.
+/// Reserves accelerators, cores and memory for a task without running it. The
+/// reservation expires after `lease` unless the task is started.
 struct ReserveTask {
   TaskKey key;
   std::uint64_t accelerators = 0;
@@ -36,14 +36,14 @@
   base::Duration lease{0};
 };
 
-/// Runs a reserved task. It is stopped by the worker when `lease` lapses
-/// without renewal.
+/// Runs a reserved task. The worker stops it when `lease` expires without
+/// renewal.
 struct StartTask {
   TaskKey key;
   base::Duration lease{0};
   /// The job's payload, as JSON text.
   std::string payload;
-  /// Object to continue from, or empty.
+  /// Checkpoint object to resume from, or empty.
   std::string from_checkpoint;
 };
 
@@ -53,21 +53,20 @@
   base::Duration lease{0};
 };
 
-/// Writes the task's state into the object store under `object`; the task goes
-/// on.
+/// Writes the task's state into the object store under `object`; the task
+/// continues to run.
 struct CheckpointTask {
   TaskKey key;
   std::string object;
 };
 
-/// Slows a task down to `cores`, when it uses more than it declared.
+/// Limits a task that uses more cores than it declared to `cores`.
 struct ThrottleTask {
   TaskKey key;
   int cores = 0;
 };
 
-/// Ends a task, running or reserved, and frees what it holds. Doing it twice is
-/// the same as once.
+/// Stops a running or reserved task and frees its resources. Idempotent.
 struct StopTask {
   TaskKey key;
 };
@@ -75,15 +74,15 @@
 using WorkerCommand = std::variant<ReserveTask, StartTask, RenewTask,
                                    CheckpointTask, ThrottleTask, StopTask>;
 
-/// The key of whatever task a command is about.
+/// The key of the task that a command applies to.
 const TaskKey& KeyOf(const WorkerCommand& command);
 
-/// Commands for one worker, carried out in order, each answered by itself.
-/// Empty: only installs the epoch.
+/// Commands for one worker, executed in order, with one result each. An order
+/// without commands only sets the epoch.
 struct WorkerOrder {
   base::CellName cell;
   Epoch epoch = 0;
-  /// The worker's incarnation the order is meant for; another one refuses the
+  /// Incarnation of the worker that the order is for; another one rejects the
   /// whole order.
   base::Incarnation worker_incarnation;
   std::vector<WorkerCommand> commands;
@@ -94,18 +93,18 @@
   kRunning,
   kFinished,
   kFailed,
-  /// Ended by a command or a lapsed lease.
+  /// Ended by a command or an expired lease.
   kStopped,
 };
 
-/// Whether a task in this state holds nothing any more.
+/// Whether a task in this state has released its resources.
 constexpr bool HasEnded(TaskState state) {
   return state == TaskState::kFinished || state == TaskState::kFailed ||
          state == TaskState::kStopped;
 }
 
-/// What a worker says of one task. Ended tasks are told until the owner has
-/// acknowledged their report.
+/// State of one task, as reported by its worker. Ended tasks are reported until
+/// the owner has acknowledged them.
 struct TaskReport {
   TaskKey key;
   TaskState state = TaskState::kReserved;
@@ -114,16 +113,17 @@
   std::int64_t memory_mb = 0;
   int exit_code = 0;
   std::string detail;
-  /// The last checkpoint that is complete in the object store, or empty.
+  /// Object of the last checkpoint that is complete in the object store, or
+  /// empty.
   std::string checkpoint;
   bool checkpoint_failed = false;
-  /// The worker's own word, of a stopped task, that it was never begun.
+  /// Whether the worker reported that a stopped task never started.
   bool never_started = false;
 
   friend bool operator==(const TaskReport&, const TaskReport&) = default;
 };
 
-/// A worker's state. Usage lags.
+/// State of a worker. Its usage fields lag behind.
 struct WorkerReport {
   base::WorkerName worker;
   base::Incarnation incarnation;
@@ -134,34 +134,33 @@
   std::int64_t memory_mb = 0;
   int used_cores = 0;
   std::int64_t used_memory_mb = 0;
-  /// The worker's own word that it is leaving.
+  /// Whether the worker reported that it is leaving.
   bool leaving = false;
-  /// Counts up at every change of a task; a report answers "what changed after
-  /// N".
+  /// Increases with every change of a task; a report contains the changes after
+  /// a given sequence.
   std::uint64_t sequence = 0;
-  /// Tasks changed after the asked-for sequence; all of them when asked from 0.
+  /// Tasks changed after the requested sequence; all tasks if it was 0.
   std::vector<TaskReport> tasks;
 };
 
-/// How one command ended.
+/// Result of one command.
 struct CommandResult {
   bool done = false;
-  /// Why not, for people and logs.
+  /// Why the command was not executed, for users and logs.
   std::string reason;
 };
 
-/// The worker carried the order out; one result per command.
+/// The worker executed the order; one result per command.
 struct OrderDone {
   std::vector<CommandResult> results;
 };
 
-/// The worker has seen a higher epoch: whoever sent this owns the cell no
-/// longer.
+/// The worker has seen a higher epoch, so the sender no longer owns the cell.
 struct StaleEpoch {
   Epoch epoch_seen = 0;
 };
 
-/// The worker has restarted: nothing of the order was carried out.
+/// The worker has restarted, and no part of the order was executed.
 struct IncarnationMismatch {
   base::Incarnation incarnation;
 };
@@ -171,7 +170,8 @@
   std::string detail;
 };
 
-/// The order may or may not have been carried out, in whole or from the front.
+/// The order may have been executed in whole, in part from its first command,
+/// or not at all.
 struct OrderOutcomeUnknown {
   std::string detail;
 };
