--- a/src/backends/worker_codec.cc
+++ b/src/backends/worker_codec.cc
@@ -28,7 +28,7 @@
 constexpr int kPreconditionFailed = 412;
 constexpr int kServerError = 500;
 
-/// Deeper JSON than any honest message is refused before it costs stack.
+/// No valid message nests deeper; deeper JSON is rejected to bound stack use.
 constexpr std::size_t kMaxDepth = 32;
 
 std::optional<json::value> Parse(std::string_view text) {
--- a/test/lifecycle/gang_state_machine_test.cc
+++ b/test/lifecycle/gang_state_machine_test.cc
@@ -18,7 +18,7 @@
   return nullptr;
 }
 
-/// A machine of `tasks` members, driven up to the given phase.
+/// A machine of `tasks` members in the given phase.
 GangStateMachine MachineIn(GangPhase phase, int tasks,
                            bool can_checkpoint = true) {
   GangStateMachine machine(tasks, can_checkpoint, GangTimeouts());
@@ -34,7 +34,7 @@
   return machine;
 }
 
-TEST_CASE("a gang starts only when all are reserved and it is recorded") {
+TEST_CASE("a gang starts only when all members are reserved and recorded") {
   GangStateMachine machine(2, false, GangTimeouts());
   CHECK(Find<ReserveMembers>(machine.Begin(kStart)));
   CHECK(machine.Handle(MemberReserved{0}, kStart).empty());
@@ -49,7 +49,7 @@
   CHECK(Find<GangEnded>(last)->outcome == GangOutcome::kFinished);
 }
 
-TEST_CASE("a missing reservation releases all, and the job was not run") {
+TEST_CASE("a refused reservation releases all members of a gang") {
   auto machine = MachineIn(GangPhase::kReserving, 3);
   machine.Handle(MemberReserved{0}, kStart);
   CHECK(Find<StopMembers>(machine.Handle(MemberRefused{1, "held"}, kStart)));
@@ -78,7 +78,7 @@
   }
 }
 
-TEST_CASE("a step without an answer ends in time") {
+TEST_CASE("a step without a response ends at its timeout") {
   for (const auto phase : {GangPhase::kReserving, GangPhase::kRecording,
                            GangPhase::kStarting, GangPhase::kCheckpointing}) {
     CAPTURE(base::NameOf(phase));
@@ -101,14 +101,14 @@
   CHECK(Find<GangEnded>(last)->checkpoints.empty());
 }
 
-TEST_CASE("a refusal after a start was confirmed does not unsay it") {
+TEST_CASE("a refusal after a confirmed start has no effect") {
   auto machine = MachineIn(GangPhase::kStarting, 2);
   machine.Handle(MemberStarted{0}, kStart);
   machine.Handle(MemberRefused{0, "late"}, kStart);
   CHECK(machine.member(0) == MemberState::kRunning);
 }
 
-TEST_CASE("an adopted gang goes on whole or stops") {
+TEST_CASE("an adopted gang continues with all members or stops") {
   GangStateMachine whole(2, false, GangTimeouts());
   whole.Adopt({MemberState::kRunning, MemberState::kFinished}, kStart);
   CHECK(whole.phase() == GangPhase::kRunning);
@@ -124,7 +124,7 @@
   CHECK_FALSE(Find<GangEnded>(out)->may_have_run);
 }
 
-/// Any event, about any member, in any order.
+/// The event with number `kind`, for member `task`.
 GangEvent AnyEvent(int kind, int task) {
   switch (kind) {
     case 0:
@@ -156,7 +156,7 @@
   }
 }
 
-TEST_CASE("whatever comes in whatever order, the protocol is kept") {
+TEST_CASE("a gang follows its protocol for events in any order") {
   const bool ok = rc::check("gang protocol", [] {
     const int tasks = *rc::gen::inRange(1, 4);
     GangStateMachine machine(tasks, *rc::gen::arbitrary<bool>(),
@@ -172,7 +172,7 @@
       for (const auto& command : out) {
         if (std::holds_alternative<StartMembers>(command)) {
           ++starts;
-          // Never before the record, never in part, never after a stop.
+          // Only after the record, with all members, and before any stop.
           RC_ASSERT(recorded);
           RC_ASSERT(static_cast<int>(reserved.size()) == tasks);
           RC_ASSERT(!stopped);
@@ -180,8 +180,8 @@
         if (std::holds_alternative<StopMembers>(command)) stopped = true;
         if (const auto* end = std::get_if<GangEnded>(&command)) {
           ++ends;
-          // A gang whose start was never sent cannot be said to have run,
-          // unless a worker itself says that a member finished.
+          // A gang whose start was never sent cannot have run, unless a worker
+          // reports that a member finished.
           if (starts == 0 && end->outcome != GangOutcome::kFinished) {
             RC_ASSERT(machine.phase() == GangPhase::kEnded);
           }
