--- a/test/lifecycle/cell_lease_test.cc
+++ b/test/lifecycle/cell_lease_test.cc
@@ -18,7 +18,7 @@
   return nullptr;
 }
 
-/// A lease with its clock.
+/// A lease with a test clock.
 struct Fixture {
   CellLease lease{kSelf, "10.0.0.1:1", LeaseTiming()};
   LeaseTiming times;
@@ -29,7 +29,7 @@
     return lease.Handle(event, now);
   }
 
-  /// The next step that is due in time.
+  /// Advances the clock to the next timer and fires it.
   std::vector<LeaseCommand> Wake() {
     now = std::max(now, lease.wake_at());
     return Tell(LeaseTimerFired{});
@@ -42,7 +42,7 @@
     return read;
   }
 
-  /// Takes the cell, of which there was no row.
+  /// Acquires a cell that has no row.
   void Take() {
     REQUIRE(Find<ReadRow>(lease.Begin(now)));
     const auto out = Tell(RowRead{});
@@ -53,8 +53,8 @@
     REQUIRE(Find<LeaseGranted>(granted));
   }
 
-  /// Reads the same row of another holder until the candidate does something
-  /// else; returns how long that took.
+  /// Reads the same row of another holder until the candidate emits a command;
+  /// returns the time until then.
   Duration WatchUnchanged(std::vector<LeaseCommand>* last) {
     const auto from = now;
     for (int i = 0; i < 100; ++i) {
@@ -66,7 +66,7 @@
   }
 };
 
-TEST_CASE("a free cell is taken with the next epoch") {
+TEST_CASE("a free cell is acquired with the next epoch") {
   Fixture it;
   REQUIRE(Find<ReadRow>(it.lease.Begin(it.now)));
   auto row = it.RowOf(base::Incarnation(), 4);
@@ -76,7 +76,7 @@
   CHECK(Find<WriteRow>(out)->row_version == 4);
 }
 
-TEST_CASE("a candidate waits for a whole lease, then asks the holder") {
+TEST_CASE("a candidate waits for a whole lease, then queries the holder") {
   Fixture it;
   it.lease.Begin(it.now);
   std::vector<LeaseCommand> out;
@@ -87,7 +87,7 @@
   CHECK(Find<WriteRow>(it.Tell(HolderTimedOut{})));
 }
 
-TEST_CASE("a holder that answers keeps the cell") {
+TEST_CASE("a holder that responds keeps the cell") {
   Fixture it;
   it.lease.Begin(it.now);
   std::vector<LeaseCommand> out;
@@ -98,7 +98,8 @@
   CHECK(it.WatchUnchanged(&out) >= it.times.duration);
 }
 
-TEST_CASE("a holder that misses only the table is spared once") {
+TEST_CASE(
+    "a holder that only lost the table keeps the cell for one more lease") {
   Fixture it;
   it.lease.Begin(it.now);
   std::vector<LeaseCommand> out;
@@ -112,7 +113,7 @@
   CHECK(Find<WriteRow>(second));
 }
 
-TEST_CASE("a failed read begins the wait anew") {
+TEST_CASE("a failed read restarts the wait") {
   Fixture it;
   it.lease.Begin(it.now);
   for (int i = 0; i < 4; ++i) {
@@ -126,7 +127,7 @@
         it.times.duration + it.times.clock_drift_margin);
 }
 
-TEST_CASE("a candidate that was paused begins the wait anew") {
+TEST_CASE("a candidate that was paused restarts the wait") {
   Fixture it;
   it.lease.Begin(it.now);
   it.Tell(it.RowOf(kOther, 5));
@@ -135,7 +136,7 @@
   CHECK(it.Tell(it.RowOf(kOther, 5)).empty());
 }
 
-TEST_CASE("a renewal between the question and the take keeps the cell") {
+TEST_CASE("a renewal between the query and the acquisition keeps the cell") {
   Fixture it;
   it.lease.Begin(it.now);
   auto row = it.RowOf(kOther, 5);
@@ -149,7 +150,7 @@
   REQUIRE(Find<ReadRow>(it.Wake()));
 }
 
-TEST_CASE("silence on a hint does not put off the end of the lease") {
+TEST_CASE("an unresponsive suspect does not delay the expiry of the lease") {
   Fixture it;
   it.lease.Begin(it.now);
   const auto from = it.now;
@@ -175,8 +176,8 @@
   CHECK(Find<LeaseGranted>(granted)->reason == AcquireReason::kExpired);
 }
 
-/// A candidate under a short lease, which asks a doubted holder that takes
-/// longer than half the lease to turn out silent.
+/// A candidate with a short lease that queries a suspected holder; the query
+/// takes more than half the lease to time out.
 struct SlowAskFixture : Fixture {
   static constexpr Duration kSilence{1'500};
 
@@ -194,8 +195,8 @@
     return row;
   }
 
-  /// Lets the question go without an answer, while the row is read at its
-  /// times; `at` is the row's version.
+  /// Lets the query time out while the row is read on schedule; `at` is the
+  /// row's version.
   std::vector<LeaseCommand> StaySilent(std::uint64_t at) {
     const auto end = now + kSilence;
     while (lease.wake_at() < end) {
@@ -206,7 +207,7 @@
   }
 };
 
-TEST_CASE("a question that ends late does not put off the end of the lease") {
+TEST_CASE("a query that ends late does not delay the expiry of the lease") {
   SlowAskFixture it;
   const auto from = it.now;
   auto out = it.Tell(it.Doubted(5));
@@ -223,12 +224,12 @@
   CHECK(it.now - from >= it.times.duration + it.times.clock_drift_margin);
 }
 
-TEST_CASE("a renewal while the holder is asked keeps the cell") {
+TEST_CASE("a renewal while the holder is queried keeps the cell") {
   SlowAskFixture it;
   auto out = it.Tell(it.Doubted(5));
   const auto from = it.now;
   std::uint64_t version = 5;
-  // The holder answers nobody but renews: each question sees another version.
+  // The holder renews without responding, so each query sees a new version.
   while (it.now - from < it.times.duration * 5) {
     REQUIRE_FALSE(Find<WriteRow>(out));
     if (Find<QueryHolder>(out)) {
@@ -259,12 +260,12 @@
   it.Take();
   it.now += it.times.duration + Duration(1);
   CHECK_FALSE(it.lease.MayAct(it.now));
-  // Whatever it hears first.
+  // Any event reports the loss.
   CHECK(Find<LeaseLost>(it.Tell(RowWriteUnknown{})));
   CHECK(it.lease.state(it.now) == HolderState::kNotHolding);
 }
 
-TEST_CASE("a holder goes on while the table fails under its eyes") {
+TEST_CASE("a holder may act while its calls to the table keep failing") {
   Fixture it;
   it.Take();
   for (int i = 0; i < 100; ++i) {
@@ -273,12 +274,12 @@
     CHECK(it.lease.MayAct(it.now));
     CHECK(it.lease.state(it.now) == HolderState::kHoldingWithoutTable);
   }
-  // But not when it was paused meanwhile.
+  // A pause longer than the lease ends this.
   it.now += it.times.duration + Duration(1);
   CHECK_FALSE(it.lease.MayAct(it.now));
 }
 
-TEST_CASE("an unknown renewal is read back") {
+TEST_CASE("a renewal with unknown outcome is read back") {
   Fixture it;
   it.Take();
   const auto renewal = it.Wake();
@@ -303,7 +304,7 @@
   }
 }
 
-TEST_CASE("an unknown take is read back, and never guessed") {
+TEST_CASE("an acquisition with unknown outcome is read back") {
   Fixture it;
   it.lease.Begin(it.now);
   const auto take = it.Tell(RowRead{});
@@ -325,7 +326,8 @@
   }
 }
 
-TEST_CASE("a refused epoch ends the lease, and the next take goes above it") {
+TEST_CASE(
+    "a rejected epoch ends the lease, and the next acquisition exceeds it") {
   Fixture it;
   it.Take();
   CHECK(Find<LeaseLost>(it.Tell(EpochRejected{20})));
@@ -335,7 +337,7 @@
   CHECK(Find<WriteRow>(out)->row.epoch == 21);
 }
 
-TEST_CASE("a planned stop empties the row") {
+TEST_CASE("a planned stop clears the holder in the row") {
   Fixture it;
   it.Take();
   const auto out = it.Tell(ReleaseRequested{});
@@ -345,7 +347,7 @@
   CHECK(Find<LeaseReleased>(it.Tell(RowWritten{2, 0})));
 }
 
-TEST_CASE("a planned stop waits for the renewal under way") {
+TEST_CASE("a planned stop waits for the renewal in progress") {
   Fixture it;
   it.Take();
   REQUIRE(Find<WriteRow>(it.Wake()));
