--- a/src/backends/runner_codec.cc
+++ b/src/backends/runner_codec.cc
@@ -104,16 +104,16 @@
   return out;
 }
 
-http::Response EncodeRunnerAnswer(const base::RequestId& id,
-                                  RunnerAnswer answer) {
+http::Response EncodeRunnerResponse(const base::RequestId& id,
+                                    RunnerResponse runner_response) {
   http::Response out;
-  out.status = answer.status;
+  out.status = runner_response.status;
   out.headers.Set(kRequestId, id.str());
-  if (!answer.content_type.empty()) {
-    out.headers.Set(kContentType, answer.content_type);
+  if (!runner_response.content_type.empty()) {
+    out.headers.Set(kContentType, runner_response.content_type);
   }
-  SetLoad(answer.load, out.headers);
-  out.body = std::move(answer.body);
+  SetLoad(runner_response.load, out.headers);
+  out.body = std::move(runner_response.body);
   return out;
 }
 
@@ -129,30 +129,30 @@
 
 RunnerOutcome DecodeRunnerResponse(const base::RequestId& id,
                                    http::Response response) {
-  const auto answered = response.headers.Find(kRequestId);
-  if (answered != id.str()) {
-    std::string detail = answered.empty()
+  const auto response_id = response.headers.Find(kRequestId);
+  if (response_id != id.str()) {
+    std::string detail = response_id.empty()
                              ? "answer carries no request id, status " +
                                    std::to_string(response.status)
                              : "answer belongs to another request";
-    return RunnerLost{false, std::move(detail)};
+    return RunnerResponseLost{false, std::move(detail)};
   }
   const auto load = ReadLoad(response.headers);
   if (response.headers.Find(kRan) == kFalse) {
     return RunnerRefused{std::move(response.body), load};
   }
-  return RunnerAnswer{response.status,
-                      std::string(response.headers.Find(kContentType)),
-                      std::move(response.body), load};
+  return RunnerResponse{response.status,
+                        std::string(response.headers.Find(kContentType)),
+                        std::move(response.body), load};
 }
 
-http::Response EncodePingAnswer(const RunnerLoad& load) {
+http::Response EncodePingResponse(const RunnerLoad& load) {
   http::Response out;
   SetLoad(load, out.headers);
   return out;
 }
 
-PingResult DecodePingAnswer(const http::Response& response) {
+PingResult DecodePingResponse(const http::Response& response) {
   if (response.status != kOk || !response.headers.Has(kSlots)) {
     return RunnerNotReached{"ping answered with status " +
                             std::to_string(response.status)};
--- a/src/backends/runner_monitor.cc
+++ b/src/backends/runner_monitor.cc
@@ -14,10 +14,10 @@
 
   void Watch(const http::Endpoint& runner) {
     auto options = options_;
-    // Each runner draws its own jitter.
-    options.seed += ++watched_;
+    // Gives each runner its own jitter.
+    options.seed += ++watch_count_;
     const auto [it, added] = runners_.try_emplace(
-        runner, Watched{RunnerHealth(options, loop_.Now()), watched_, 0});
+        runner, Watched{RunnerHealth(options, loop_.Now()), watch_count_, 0});
     if (added) Arm(runner, it->second);
   }
 
@@ -57,12 +57,12 @@
  private:
   struct Watched {
     RunnerHealth health;
-    /// Tells this watch from a later one of the same runner.
+    /// Distinguishes this watch from a later one of the same runner.
     std::uint64_t id = 0;
     base::TimerId timer = 0;
   };
 
-  /// Sets the timer that looks again when the next ping is due.
+  /// Sets the timer for the next ping.
   void Arm(const http::Endpoint& runner, Watched& watched) {
     loop_.Cancel(watched.timer);
     const auto delay =
@@ -75,28 +75,29 @@
   void PingIfDue(const http::Endpoint& runner) {
     const auto it = runners_.find(runner);
     if (it == runners_.end()) return;
-    if (!it->second.health.PingDue(loop_.Now())) return;
-    it->second.health.PingSent();
+    if (!it->second.health.IsPingDue(loop_.Now())) return;
+    it->second.health.RecordPingSent();
     const auto id = it->second.id;
     client_.Ping(runner, options_.ping_timeout,
                  [weak = weak_from_this(), &loop = loop_, runner,
                   id](PingResult result) {
                    loop.Post([weak, runner, id, result = std::move(result)] {
                      const auto self = weak.lock();
-                     if (self) self->Finish(runner, id, result);
+                     if (self) self->HandlePingResult(runner, id, result);
                    });
                  });
   }
 
-  void Finish(const http::Endpoint& runner, std::uint64_t id,
-              const PingResult& result) {
+  void HandlePingResult(const http::Endpoint& runner, std::uint64_t id,
+                        const PingResult& result) {
     const auto it = runners_.find(runner);
     if (it == runners_.end() || it->second.id != id) return;
     const auto* load = std::get_if<RunnerLoad>(&result);
     const auto time = loop_.Now();
     if (load != nullptr && on_load_) on_load_(runner, *load);
     Apply(runner, [load, time](RunnerHealth& health) {
-      load != nullptr ? health.Answered(time) : health.PingFailed(time);
+      load != nullptr ? health.RecordResponse(time)
+                      : health.RecordPingFailure(time);
     });
   }
 
@@ -105,7 +106,7 @@
   RunnerHealthOptions options_;
   OnChange on_change_;
   OnLoad on_load_;
-  std::uint64_t watched_ = 0;
+  std::uint64_t watch_count_ = 0;
   std::map<http::Endpoint, Watched> runners_;
 };
 
@@ -131,14 +132,16 @@
   impl_->Unwatch(runner);
 }
 
-void RunnerMonitor::Answered(const http::Endpoint& runner) {
-  impl_->Apply(runner,
-               [now = impl_->now()](RunnerHealth& it) { it.Answered(now); });
+void RunnerMonitor::RecordResponse(const http::Endpoint& runner) {
+  impl_->Apply(runner, [now = impl_->now()](RunnerHealth& it) {
+    it.RecordResponse(now);
+  });
 }
 
-void RunnerMonitor::Lost(const http::Endpoint& runner) {
-  impl_->Apply(runner,
-               [now = impl_->now()](RunnerHealth& it) { it.Lost(now); });
+void RunnerMonitor::RecordFailure(const http::Endpoint& runner) {
+  impl_->Apply(runner, [now = impl_->now()](RunnerHealth& it) {
+    it.RecordFailure(now);
+  });
 }
 
 std::optional<RunnerState> RunnerMonitor::state(
