--- a/src/dispatch/owned_orders.cc
+++ b/src/dispatch/owned_orders.cc
@@ -74,8 +74,9 @@
 void OwnedService::WhenRecorded(const std::set<base::JobName>& jobs,
                                 const std::function<void()>& done) {
   std::map<int, std::vector<base::JobName>> by_part;
-  for (const auto& it : jobs)
+  for (const auto& it : jobs) {
     by_part[jobs::ProgressPartitionIndex(it)].push_back(it);
+  }
   if (by_part.empty()) return ports_.loop.Post(done);
   auto left = std::make_shared<std::size_t>(by_part.size());
   const auto on_part = [left, done] {
--- a/src/dispatch/waiting_counter.cc
+++ b/src/dispatch/waiting_counter.cc
@@ -52,8 +52,9 @@
     if (const auto* conflict = std::get_if<RowsConflict>(&result)) {
       version_ = store::kAbsent;
       for (const auto& it : conflict->present) {
-        if (it.address.table == jobs::kWaitingCountsTable)
+        if (it.address.table == jobs::kWaitingCountsTable) {
           version_ = it.version;
+        }
       }
     }
     Again();
--- a/src/jobs/job_rows.cc
+++ b/src/jobs/job_rows.cc
@@ -75,8 +75,9 @@
   if (step.is_service) out["service"] = true;
   if (!step.required_label.empty()) out["label"] = step.required_label;
   if (!step.preferred_rack.empty()) out["rack"] = step.preferred_rack.str();
-  if (step.max_tasks_per_worker > 0)
+  if (step.max_tasks_per_worker > 0) {
     out["per_worker"] = step.max_tasks_per_worker;
+  }
   if (step.uses_spare_cpu) out["fills"] = true;
   return out;
 }
--- a/src/jobs/job_service.cc
+++ b/src/jobs/job_service.cc
@@ -132,13 +132,13 @@
                 }
                 const auto& rows = std::get<RowsRead>(result).rows;
                 // The owner has not written the row yet, so no job has been
-                // waiting
-                // for long.
+                // waiting for long.
                 if (rows.empty()) return done(0);
                 const auto waiting = DecodeWaitingCounts(rows.front().value);
-                if (!waiting)
+                if (!waiting) {
                   return done(JobStoreUnavailable{
                       "the waiting counts row cannot be decoded"});
+                }
                 const auto it = waiting->find(queue);
                 done(it == waiting->end() ? 0 : it->second);
               });
