--- a/src/dispatch/internal/owned_service.h
+++ b/src/dispatch/internal/owned_service.h
@@ -29,45 +29,56 @@
 
 namespace lapishatch::dispatch::internal {
 
-/// What an owner may do at a moment, as its lease says.
-struct OwnerRights {
-  /// Whether it certainly is the only owner.
+/// What the lease on the service currently permits its owner to do, and how the
+/// owner reports that it has lost the service.
+struct OwnerPermissions {
+  /// Whether tasks may be started: this process is certain to be the only
+  /// owner.
   std::function<bool()> may_start;
-  /// Whether it may still renew leases at workers, and for how long at most.
+  /// Whether the owner may still renew the leases of workers.
   std::function<bool()> may_renew;
-  std::function<base::Duration()> longest_lease;
-  /// Another process owns the service.
+  /// Maximum length of a worker's lease, from now on.
+  std::function<base::Duration()> max_worker_lease;
+  /// Called when another process is found to own the service.
   std::function<void(const std::string& reason)> on_lost;
 };
 
-/// One ownership of a service, from the taking of its row to the end.
-/// Destroying it forgets everything; nothing of it acts afterwards.
+/// Schedules the tasks of one service while this process owns it, from the
+/// acquisition of the service's row until the ownership ends. Destroying the
+/// object discards its state; callbacks that arrive afterwards have no effect.
 ///
-/// Order of things: a start is recorded, then sent; an end is listed by the
-/// worker, recorded, then acknowledged to the worker. A new owner hears each
-/// worker under its own epoch, which ends all orders of former owners there,
-/// and takes over what runs.
+/// A start is recorded in the store before it is sent to the worker. An end is
+/// reported by the worker, recorded in the store and only then acknowledged to
+/// the worker. A new owner polls each worker with its own epoch, which makes
+/// the worker refuse all orders of former owners, and takes over the tasks that
+/// are running there.
 class OwnedService : public std::enable_shared_from_this<OwnedService> {
  public:
   OwnedService(const ServiceOwnerPorts& ports, base::ServiceName service,
-               Epoch epoch, bool former_is_gone,
-               const ServiceOwnerOptions& options, OwnerRights rights);
+               Epoch epoch, bool is_former_owner_gone,
+               const ServiceOwnerOptions& options,
+               OwnerPermissions permissions);
 
   void Start();
 
+  /// Adds a worker or updates its entry. Workers of other services are ignored.
   void PutWorker(const WorkerEntry& entry);
+
+  /// Handles the removal of a worker's registration. The tasks there are over
+  /// only when the worker's lease has expired.
   void RemoveWorker(const base::WorkerName& name);
   void SetGuarantees(std::map<base::OrganisationName, std::int64_t> guarantees);
 
  private:
   struct Worker {
     std::unique_ptr<WorkerSession> session;
-    bool is_listed = true;
-    /// Jobs of the ends that it has listed and that may not be recorded yet:
-    /// acknowledging one end acknowledges all before it.
+    bool is_registered = true;
+    /// Jobs with ends that the worker has reported and that may not be recorded
+    /// yet. Acknowledging one end acknowledges all ends before it.
     std::set<base::JobName> unrecorded;
-    /// Refused something lately.
-    base::TimePoint closed_until{};
+    /// The worker gets no new tasks before this time, because it has refused
+    /// one.
+    base::TimePoint paused_until{};
   };
 
   struct RecentCrash {
@@ -78,117 +89,127 @@
   // Loading.
   void OnLoaded(LoadedService loaded);
   void FollowRequests();
-  void OnAllRequests(const std::vector<store::StoredRow>& rows);
-  void OnRequest(const store::StoredRow& row);
-  void OnCancel(const base::JobName& name);
+  void OnRequestSnapshot(const std::vector<store::StoredRow>& rows);
+  void OnRequestRow(const store::StoredRow& row);
+  void OnCancelRequest(const base::JobName& name);
 
   // Workers.
   void OpenSession(const WorkerEntry& entry);
-  bool IsEvacuated(const Worker& worker) const;
-  /// Whether the evacuations are known as of the taking of this service, and
-  /// were confirmed lately: an owner whose feed lags behind starts nothing.
-  bool KnowsEvacuations() const;
+  bool IsInEvacuatedDomain(const Worker& worker) const;
+  /// Whether the known evacuations are at least as new as this owner's epoch
+  /// and were confirmed recently. An owner whose feed lags behind starts no
+  /// tasks.
+  bool HasFreshEvacuations() const;
   /// Whether the workers' registrations were read recently enough to rely on
   /// their capacities for a start.
   bool HasFreshRegistrations() const;
   bool MayStart() const {
-    return rights_.may_start() && KnowsEvacuations() && HasFreshRegistrations();
+    return permissions_.may_start() && HasFreshEvacuations() &&
+           HasFreshRegistrations();
   }
-  /// Whether what is planned, runs, may run or is being stopped on a worker
-  /// fits its capacity.
+  /// Whether the tasks that are planned, running, possibly running or being
+  /// stopped on a worker fit its capacity.
   bool IsWithinCapacity(const base::WorkerName& name);
-  void NoteEvacuations();
-  void NoteDeparture(const WorkerEntry& entry);
-  void NoteCapacity(const WorkerEntry& entry);
-  void DrainWorkers();
-  void OnNews(const base::WorkerName& name, const WorkerNews& news,
-              base::TimePoint sent);
-  void OnRunning(const base::WorkerName& name, const RunningTask& task,
-                 base::TimePoint sent);
-  void OnEnded(const base::WorkerName& name, const EndedTask& end);
-  void ResolveUnlisted(const base::WorkerName& name, const WorkerNews& news,
-                       base::TimePoint sent);
+  void HandleEvacuationChanges();
+  void RecordDeparture(const WorkerEntry& entry);
+  void HandleCapacityChange(const WorkerEntry& entry);
+  void StopUnitsOnDrainingWorkers();
+  void OnWorkerReport(const base::WorkerName& name, const WorkerNews& report,
+                      base::TimePoint sent);
+  void OnTaskRunning(const base::WorkerName& name, const RunningTask& task,
+                     base::TimePoint sent);
+  void OnTaskEnded(const base::WorkerName& name, const EndedTask& end);
+  void EndUnreportedTasks(const base::WorkerName& name,
+                          const WorkerNews& report, base::TimePoint sent);
   /// Tasks as pairs of unit and task index; see JobBook::MembersOn.
   using Members = std::vector<std::pair<Unit*, int>>;
-  void EndAllOn(const base::WorkerName& name, WorkerLossReason reason);
+  void EndAllTasksOn(const base::WorkerName& name, WorkerLossReason reason);
   void EndLostMembers(const base::WorkerName& name, const Members& members,
                       WorkerLossReason reason);
-  void ReportLostTask(const Unit& unit, int index, std::ptrdiff_t others,
+  void ReportLostTask(const Unit& unit, int index,
+                      std::ptrdiff_t tasks_of_other_units,
                       WorkerLossReason reason, const jobs::TaskLosses& losses);
   bool RunsSuspect(const base::WorkerName& name) const;
   std::vector<jobs::TaskName> TasksOn(const base::WorkerName& name) const;
+  /// Workers that crashed recently or do not answer, and on which no suspect
+  /// task runs that may be the cause.
   DownWorkers FindDownWorkers() const;
   void RecordCrash(const base::WorkerName& name);
-  void UpdateOpen();
-  void FindSilent();
-  void CheckLapsed();
-  void CheckStalled();
-
-  // Orders.
-  void Pump();
-  void Decide();
-  /// Calls `done` once what is known now of `jobs` stands in the store.
+  void UpdateWorkerStates();
+  void UpdateSilentDomains();
+  void HandleExpiredLeases();
+  void StopStalledUnits();
+
+  // Starts and stops.
+  void ScheduleDecisionRound();
+  void RunDecisionRound();
+  /// Calls `done` once the present progress of `jobs` is recorded in the store.
   void WhenRecorded(const std::set<base::JobName>& jobs,
                     const std::function<void()>& done);
-  void SendStarts(const std::vector<Unit*>& units);
+  void SendStartsWhenRecorded(const std::vector<Unit*>& units);
   void SendStart(const jobs::TaskName& task, int run);
-  void NoteStartTime(const StartResult& result, base::TimePoint sent);
-  void OnStarted(const jobs::TaskName& task, int run, StartResult result);
+  void UpdateStartWindow(const StartResult& result, base::TimePoint sent);
+  void OnStartResult(const jobs::TaskName& task, int run, StartResult result);
   void SendStops();
   void SendStop(const jobs::TaskName& task, int run,
                 const base::WorkerName& name);
-  void OnStopped(const jobs::TaskName& task, int run,
-                 const base::WorkerName& name, const StopResult& result);
+  void OnStopResult(const jobs::TaskName& task, int run,
+                    const base::WorkerName& name, const StopResult& result);
 
-  /// Logs the jobs that have ended since it was called last.
-  void LogEnds();
-  void LogEnd(const JobEntry& job);
+  /// Logs the jobs that have ended since the last call.
+  void LogEndedJobs();
+  void LogEndedJob(const JobEntry& job);
+  /// Does the periodic work and schedules its next call.
   void Tick();
-  void RemoveOld();
-  void RemoveOrphans(const std::vector<store::StoredRow>& requests);
-  void RemoveRows(const base::JobName& name);
-  void RemoveProgress(const base::JobName& name);
-  void Lose(const std::string& reason);
-  /// The present run of the task's unit, if it is `run`.
-  Unit* FindRun(const jobs::TaskName& task, int run);
+  void RemoveExpiredJobs();
+  void RemoveOrphanedProgress(const std::vector<store::StoredRow>& requests);
+  void RemoveJobRows(const base::JobName& name);
+  void RemoveProgressRow(const base::JobName& name);
+  void GiveUpOwnership(const std::string& reason);
+  /// The unit of the task if `run` is its present run and the task is not over
+  /// in it; otherwise null.
+  Unit* FindUnitOfRun(const jobs::TaskName& task, int run);
   Worker* FindWorker(const base::WorkerName& name);
 
   const ServiceOwnerPorts& ports_;
   const base::ServiceName service_;
   const Epoch epoch_;
-  const bool former_is_gone_;
+  const bool is_former_owner_gone_;
   const ServiceOwnerOptions& options_;
-  const OwnerRights rights_;
-  const base::TimePoint taken_at_;
+  const OwnerPermissions permissions_;
+  const base::TimePoint acquired_at_;
 
   Fleet fleet_;
   JobBook book_;
   TaskPlanner planner_;
   const SessionOptions session_options_;
   ServiceLoader loader_;
-  /// By part; none before the service is loaded.
+  /// By partition; empty before the service is loaded.
   std::vector<std::unique_ptr<Recorder>> recorders_;
-  std::optional<WaitingCounter> counter_;
+  std::optional<WaitingCounter> waiting_counter_;
   std::map<base::WorkerName, Worker> workers_;
-  WorkerHealth health_{{}};
-  CrashHistory crashes_{{}};
-  /// Workers without suspect tasks whose crash was detected recently.
+  WorkerHealth worker_health_{{}};
+  CrashHistory crash_history_{{}};
+  /// Workers that ran no suspect task and whose crash was detected recently.
   std::map<base::WorkerName, RecentCrash> recent_crashes_;
   Departures departures_;
   std::map<base::JobName, store::StoredRow> progress_rows_;
-  std::optional<store::FeedFollower> requests_;
+  std::optional<store::FeedFollower> request_follower_;
   bool is_loaded_ = false;
-  bool is_pump_armed_ = false;
-  /// The earliest time of the next round of decisions.
-  base::TimePoint next_decision_{};
-  StartWindow window_{{}};
-  /// Failure domains that are cut off from this owner.
-  std::set<base::DomainName> silent_;
-  /// Evacuated domains as they were logged last.
-  std::set<base::DomainName> evacuated_;
-  bool knows_evacuations_ = true;
-  /// Whether more could start once starts that are under way are answered.
-  bool waits_for_answers_ = false;
+  bool is_decision_round_scheduled_ = false;
+  /// The next decision round does not start before this time.
+  base::TimePoint earliest_next_decision_{};
+  StartWindow start_window_{{}};
+  /// Failure domains whose workers do not answer this owner.
+  std::set<base::DomainName> silent_domains_;
+  /// Evacuated domains when they were last logged.
+  std::set<base::DomainName> logged_evacuated_domains_;
+  /// Result of HasFreshEvacuations when it was last logged.
+  bool had_fresh_evacuations_ = true;
+  /// Whether the last decision round held back starts until starts in flight
+  /// are answered.
+  bool is_limited_by_start_window_ = false;
+  /// When this owner first saw each ended job as ended.
   std::map<base::JobName, base::TimePoint> ended_at_;
 };
 
--- a/src/dispatch/owned_losses.cc
+++ b/src/dispatch/owned_losses.cc
@@ -10,16 +10,18 @@
 
 namespace {
 
-/// Crashes detected within this time may have a common cause. Workers that fail
-/// together are detected one by one, as each is polled.
+/// Crashes detected within this time of each other may have a common cause.
+/// Workers that fail at the same moment are detected one by one, when each is
+/// polled.
 constexpr base::Duration kCommonCauseWindow{6'000};
 
 }  // namespace
 
-/// Logs a task that was lost with its worker and updates the metrics. `others`
-/// is the number of tasks of other units lost with the same worker.
+/// Logs a task that was lost with its worker and updates the metrics.
+/// `tasks_of_other_units` is the number of tasks of other units that were lost
+/// with the same worker.
 void OwnedService::ReportLostTask(const Unit& unit, int index,
-                                  std::ptrdiff_t others,
+                                  std::ptrdiff_t tasks_of_other_units,
                                   WorkerLossReason reason,
                                   const jobs::TaskLosses& losses) {
   const auto& member = JobBook::MemberOf(unit, index);
@@ -34,7 +36,7 @@
                                       {"worker", member.worker},
                                       {"reason", base::NameOf(reason)},
                                       {"ran_ms", run_time.count()},
-                                      {"others", others},
+                                      {"others", tasks_of_other_units},
                                       {"failures", unit.failures},
                                       {"losses", losses.count},
                                       {"suspicion", losses.suspicion}});
@@ -73,11 +75,11 @@
     const auto& session = *worker.session;
     const auto& entry = session.entry();
     ++out.fleet_size;
-    const auto place = fleet_.workers().find(name);
-    const bool has_suspects =
-        place != fleet_.workers().end() && place->second.suspect_tasks > 0;
+    const auto fleet_worker = fleet_.workers().find(name);
+    const bool has_suspects = fleet_worker != fleet_.workers().end() &&
+                              fleet_worker->second.suspect_tasks > 0;
     if (!has_suspects) ++out.without_suspects;
-    const bool is_down = worker.is_listed && !entry.is_draining &&
+    const bool is_down = worker.is_registered && !entry.is_draining &&
                          session.is_heard() && !session.IsReached();
     if (!is_down || recent_crashes_.contains(name)) continue;
     if (!RunsSuspect(name)) out.workers.push_back({entry.rack, TasksOn(name)});
@@ -85,8 +87,8 @@
   return out;
 }
 
-/// Records the crash of a worker, unless it was leaving or a suspect task on it
-/// may be the cause.
+/// Records the crash of a worker, unless it was draining or a suspect task on
+/// it may be the cause.
 void OwnedService::RecordCrash(const base::WorkerName& name) {
   const auto* worker = FindWorker(name);
   if (worker == nullptr || departures_.contains(name)) return;
@@ -97,22 +99,22 @@
   });
   const auto& entry = worker->session->entry();
   recent_crashes_[name] = {{entry.rack, TasksOn(name)}, now};
-  crashes_.Add(entry.endpoint, now);
+  crash_history_.Add(entry.endpoint, now);
 }
 
 /// Reports and ends `members`, which were all on the lost worker. Losses are
-/// not counted if the worker had announced that it leaves.
+/// not counted if the worker had announced its departure.
 void OwnedService::EndLostMembers(const base::WorkerName& name,
                                   const Members& members,
                                   WorkerLossReason reason) {
-  const bool counts = !departures_.contains(name);
+  const bool counts_as_loss = !departures_.contains(name);
   const auto* worker = FindWorker(name);
   const auto rack =
       worker == nullptr ? base::RackName() : worker->session->entry().rack;
   const auto down = members.empty() ? DownWorkers{} : FindDownWorkers();
   const auto now = ports_.loop.Now();
   for (const auto& [unit, index] : members) {
-    const auto others = std::count_if(
+    const auto tasks_of_other_units = std::count_if(
         members.begin(), members.end(),
         [lost = unit](const auto& it) { return it.first != lost; });
     const auto task = JobBook::NameOf(
@@ -121,17 +123,18 @@
         JobBook::MemberOf(*unit, index).confirmed != TimePoint{};
     const bool is_explained =
         !was_running || HasCommonCause(down, rack, task, {});
-    const int suspicion = SuspicionOf(reason, is_explained, others == 0);
-    const auto losses = counts
+    const int suspicion =
+        SuspicionOf(reason, is_explained, tasks_of_other_units == 0);
+    const auto losses = counts_as_loss
                             ? JobBook::CountLoss(*unit, index, suspicion, now)
                             : LossesOf(unit->losses, index - unit->first_index);
-    ReportLostTask(*unit, index, others, reason, losses);
+    ReportLostTask(*unit, index, tasks_of_other_units, reason, losses);
   }
   for (const auto& [unit, index] : members) book_.OnLost(*unit, index, now);
 }
 
-void OwnedService::EndAllOn(const base::WorkerName& name,
-                            WorkerLossReason reason) {
+void OwnedService::EndAllTasksOn(const base::WorkerName& name,
+                                 WorkerLossReason reason) {
   const auto members = book_.MembersOn(name);
   base::Log(base::events::kWorkerGone, {{"service", service_.str()},
                                         {"worker", name},
@@ -139,7 +142,7 @@
                                         {"reason", base::NameOf(reason)}});
   if (reason == WorkerLossReason::kOtherLife) RecordCrash(name);
   EndLostMembers(name, members, reason);
-  Pump();
+  ScheduleDecisionRound();
 }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/owned_orders.cc
+++ b/src/dispatch/owned_orders.cc
@@ -29,37 +29,37 @@
 
 }  // namespace
 
-/// Has a round of decisions made soon, once for everything that happens before
-/// it. Rounds keep a distance that grows with what they cost, so that most of
-/// the processor is left for leases, ends and stops however much there is to
-/// decide.
-void OwnedService::Pump() {
-  if (is_pump_armed_ || !is_loaded_) return;
-  is_pump_armed_ = true;
+/// Schedules a decision round, unless one is scheduled already. One round
+/// covers all changes before it. The pause between two rounds grows with their
+/// duration, so that most of the processor time remains for leases, ends and
+/// stops under any load.
+void OwnedService::ScheduleDecisionRound() {
+  if (is_decision_round_scheduled_ || !is_loaded_) return;
+  is_decision_round_scheduled_ = true;
   const auto decide = [weak = weak_from_this()] {
-    if (const auto self = weak.lock()) self->Decide();
+    if (const auto self = weak.lock()) self->RunDecisionRound();
   };
-  const auto wait = next_decision_ - ports_.loop.Now();
+  const auto wait = earliest_next_decision_ - ports_.loop.Now();
   if (wait <= base::Duration(0)) return ports_.loop.Post(decide);
   ports_.loop.After(wait, decide);
 }
 
-/// Decides, records and sends.
-void OwnedService::Decide() {
-  is_pump_armed_ = false;
+/// Plans starts and preemptions, records them, and sends starts and stops.
+void OwnedService::RunDecisionRound() {
+  is_decision_round_scheduled_ = false;
   const auto began = ports_.loop.Now();
-  UpdateOpen();
+  UpdateWorkerStates();
   PlannerDecisions decisions;
   if (MayStart()) {
     const int under_way = book_.CountUnderWay();
-    decisions = planner_.Decide(began, window_.size() - under_way);
-    window_.NoteUse(under_way + CountTasks(decisions.starts));
+    decisions = planner_.Decide(began, start_window_.size() - under_way);
+    start_window_.NoteUse(under_way + CountTasks(decisions.starts));
   }
-  waits_for_answers_ = decisions.is_limited;
+  is_limited_by_start_window_ = decisions.is_limited;
   for (const auto& it : decisions.preempted) LogPreemption(it);
   SendStops();
-  if (!decisions.starts.empty()) SendStarts(decisions.starts);
-  LogEnds();
+  if (!decisions.starts.empty()) SendStartsWhenRecorded(decisions.starts);
+  LogEndedJobs();
   for (const auto& it : recorders_) it->Kick();
   const auto ended = ports_.loop.Now();
   if (ports_.metrics != nullptr) {
@@ -67,36 +67,40 @@
         "lapishatch_decision_seconds", {{"service", service_.str()}},
         std::chrono::duration<double>(ended - began).count());
   }
-  next_decision_ = ended + std::max(options_.decide_every,
-                                    options_.decide_pause * (ended - began));
+  earliest_next_decision_ =
+      ended +
+      std::max(options_.decide_every, options_.decide_pause * (ended - began));
 }
 
 void OwnedService::WhenRecorded(const std::set<base::JobName>& jobs,
                                 const std::function<void()>& done) {
-  std::map<int, std::vector<base::JobName>> by_part;
+  std::map<int, std::vector<base::JobName>> by_partition;
   for (const auto& it : jobs)
-    by_part[jobs::ProgressPartitionIndex(it)].push_back(it);
-  if (by_part.empty()) return ports_.loop.Post(done);
-  auto left = std::make_shared<std::size_t>(by_part.size());
-  const auto on_part = [left, done] {
-    if (--*left == 0) done();
+    by_partition[jobs::ProgressPartitionIndex(it)].push_back(it);
+  if (by_partition.empty()) return ports_.loop.Post(done);
+  auto unrecorded_partitions =
+      std::make_shared<std::size_t>(by_partition.size());
+  const auto on_partition_recorded = [unrecorded_partitions, done] {
+    if (--*unrecorded_partitions == 0) done();
   };
-  for (const auto& [part, names] : by_part) {
-    recorders_[static_cast<std::size_t>(part)]->WhenRecorded(names, on_part);
+  for (const auto& [partition, names] : by_partition) {
+    recorders_[static_cast<std::size_t>(partition)]->WhenRecorded(
+        names, on_partition_recorded);
   }
 }
 
-/// Sends the starts of `units` once they are recorded, each part's by itself.
-void OwnedService::SendStarts(const std::vector<Unit*>& units) {
-  struct Planned {
+/// Sends the starts of `units` once they are recorded. The starts of a
+/// partition do not wait for other partitions.
+void OwnedService::SendStartsWhenRecorded(const std::vector<Unit*>& units) {
+  struct PlannedStart {
     jobs::TaskName task;
     int run = 0;
   };
-  struct PartStarts {
-    std::vector<Planned> planned;
+  struct PartitionStarts {
+    std::vector<PlannedStart> planned;
     std::vector<base::JobName> jobs;
   };
-  std::map<int, PartStarts> by_part;
+  std::map<int, PartitionStarts> by_partition;
   for (const auto* unit : units) {
     const auto& job = *unit->step->job;
     if (ports_.metrics != nullptr && unit->last_run == 1) {
@@ -115,43 +119,43 @@
                {"worker", unit->members.front().worker},
                {"waited_ms", (unit->started - unit->waiting_since).count()},
                {"age_ms", (unit->started - job.accepted).count()}});
-    auto& starts = by_part[job.part];
+    auto& starts = by_partition[job.part];
     starts.jobs.push_back(job.job->name);
     for (std::size_t i = 0; i < unit->members.size(); ++i) {
       starts.planned.push_back({JobBook::NameOf(*unit, i), unit->last_run});
     }
   }
-  for (auto& [part, starts] : by_part) {
-    recorders_[static_cast<std::size_t>(part)]->WhenRecorded(
+  for (auto& [partition, starts] : by_partition) {
+    recorders_[static_cast<std::size_t>(partition)]->WhenRecorded(
         starts.jobs,
         [weak = weak_from_this(), planned = std::move(starts.planned)] {
           const auto self = weak.lock();
           if (!self) return;
           for (const auto& it : planned) self->SendStart(it.task, it.run);
-          self->Pump();
+          self->ScheduleDecisionRound();
         });
   }
 }
 
 void OwnedService::SendStart(const jobs::TaskName& task, int run) {
-  auto* unit = FindRun(task, run);
+  auto* unit = FindUnitOfRun(task, run);
   if (unit == nullptr) return;
   auto& member = JobBook::MemberOf(*unit, task.index);
   if (member.state == MemberState::kRunning) return;
   auto* worker = FindWorker(member.worker);
   const bool may_send = worker != nullptr && worker->session->is_heard() &&
-                        !IsEvacuated(*worker) && !unit->is_stopping &&
+                        !IsInEvacuatedDomain(*worker) && !unit->is_stopping &&
                         MayStart();
-  const bool fits = IsWithinCapacity(member.worker);
-  if (!may_send || !fits) {
+  const bool is_within_capacity = IsWithinCapacity(member.worker);
+  if (!may_send || !is_within_capacity) {
     if (member.state == MemberState::kPlanned) {
       book_.OnRefused(*unit, task.index, ports_.loop.Now());
-    } else if (!fits) {
-      // The worker may still carry out an order that was sent before, so the
-      // unit is stopped rather than returned to waiting.
+    } else if (!is_within_capacity) {
+      // The worker may still execute an order that was sent before, so the unit
+      // is stopped instead of being returned to the queue.
       book_.Stop(*unit);
     }
-    return Pump();
+    return ScheduleDecisionRound();
   }
   auto& session = *worker->session;
   StartOrder order{task,
@@ -170,28 +174,30 @@
                         sent = member.sent](StartResult result) {
                          const auto self = weak.lock();
                          if (!self) return;
-                         self->NoteStartTime(result, sent);
-                         self->OnStarted(task, run, std::move(result));
+                         self->UpdateStartWindow(result, sent);
+                         self->OnStartResult(task, run, std::move(result));
                        });
 }
 
-/// The size of the window follows how soon workers answer starts.
-void OwnedService::NoteStartTime(const StartResult& result,
-                                 base::TimePoint sent) {
+/// Adjusts the size of the start window to the time that workers take to answer
+/// starts. Starts that were not sent do not count.
+void OwnedService::UpdateStartWindow(const StartResult& result,
+                                     base::TimePoint sent) {
   const auto now = ports_.loop.Now();
   if (std::holds_alternative<NotSent>(result)) return;
   const bool is_answered = !std::holds_alternative<NoAnswer>(result);
-  const auto took = is_answered ? std::optional(now - sent) : std::nullopt;
-  if (!window_.OnAnswer(took, now)) return;
+  const auto answer_time =
+      is_answered ? std::optional(now - sent) : std::nullopt;
+  if (!start_window_.OnAnswer(answer_time, now)) return;
   base::Log(base::events::kStartWindowChanged,
             {{"service", service_.str()},
-             {"starts", window_.size()},
+             {"starts", start_window_.size()},
              {"under_way", book_.CountUnderWay()}});
 }
 
-void OwnedService::OnStarted(const jobs::TaskName& task, int run,
-                             StartResult result) {
-  auto* unit = FindRun(task, run);
+void OwnedService::OnStartResult(const jobs::TaskName& task, int run,
+                                 StartResult result) {
+  auto* unit = FindUnitOfRun(task, run);
   if (unit == nullptr) return;
   auto& member = JobBook::MemberOf(*unit, task.index);
   auto* worker = FindWorker(member.worker);
@@ -199,7 +205,7 @@
   if (std::holds_alternative<Started>(result)) {
     member.state = MemberState::kRunning;
     member.confirmed = now;
-    if (waits_for_answers_) Pump();
+    if (is_limited_by_start_window_) ScheduleDecisionRound();
     return;
   }
   if (member.state == MemberState::kRunning) return;
@@ -211,19 +217,20 @@
                {"worker", member.worker},
                {"reason", base::NameOf(refused->reason)}});
     if (refused->reason == Refusal::kEpoch) {
-      return Lose("a worker has seen a higher epoch");
+      return GiveUpOwnership("a worker has seen a higher epoch");
     }
-    // Only the first try can be refused for good: a later one may be refused
-    // since an earlier one has run and ended, which the worker then lists.
+    // A refusal is final only for the first attempt. A later attempt may be
+    // refused because an earlier one has run and ended, which the worker then
+    // reports.
     if (member.unanswered > 0) return;
-    if (worker != nullptr) worker->closed_until = now + options_.refused_pause;
+    if (worker != nullptr) worker->paused_until = now + options_.refused_pause;
     book_.OnRefused(*unit, task.index, now);
-    return Pump();
+    return ScheduleDecisionRound();
   }
   if (std::holds_alternative<NotSent>(result) && member.unanswered == 0) {
     if (worker != nullptr) worker->session->MarkUnreached();
     book_.OnRefused(*unit, task.index, now);
-    return Pump();
+    return ScheduleDecisionRound();
   }
   ++member.unanswered;
   base::Log(base::events::kStartUnanswered, {{"request", task.job},
@@ -234,7 +241,7 @@
   if (worker != nullptr) worker->session->MarkUnreached();
   if (member.unanswered < options_.start_tries) return SendStart(task, run);
   book_.Stop(*unit);
-  Pump();
+  ScheduleDecisionRound();
 }
 
 void OwnedService::SendStops() {
@@ -253,23 +260,23 @@
 void OwnedService::SendStop(const jobs::TaskName& task, int run,
                             const base::WorkerName& name) {
   auto* worker = FindWorker(name);
-  if (worker == nullptr || !rights_.may_renew()) return;
+  if (worker == nullptr || !permissions_.may_renew()) return;
   ports_.workers.Stop(
       worker->session->address(), {task, run, epoch_}, options_.stop_timeout,
       [weak = weak_from_this(), task, run, name](const StopResult& result) {
         const auto self = weak.lock();
-        if (self) self->OnStopped(task, run, name, result);
+        if (self) self->OnStopResult(task, run, name, result);
       });
 }
 
-void OwnedService::OnStopped(const jobs::TaskName& task, int run,
-                             const base::WorkerName& name,
-                             const StopResult& result) {
+void OwnedService::OnStopResult(const jobs::TaskName& task, int run,
+                                const base::WorkerName& name,
+                                const StopResult& result) {
   const auto* refused = std::get_if<Refused>(&result);
   if (refused != nullptr && refused->reason == Refusal::kEpoch) {
-    return Lose("a worker has seen a higher epoch");
+    return GiveUpOwnership("a worker has seen a higher epoch");
   }
-  auto* unit = FindRun(task, run);
+  auto* unit = FindUnitOfRun(task, run);
   if (unit == nullptr) return;
   auto& member = JobBook::MemberOf(*unit, task.index);
   if (member.worker != name) return;
@@ -277,24 +284,25 @@
     member.is_stop_confirmed = true;
     member.confirmed = ports_.loop.Now();
   }
-  // Its end is listed soon; a stop whose order was lost is sent again.
+  // The worker normally reports the end before this delay has passed. If it
+  // does not, the order may have been lost and is sent again.
   ports_.loop.After(options_.stop_again, [weak = weak_from_this(), task, run] {
     const auto self = weak.lock();
     if (!self) return;
-    if (auto* it = self->FindRun(task, run)) {
+    if (auto* it = self->FindUnitOfRun(task, run)) {
       JobBook::MemberOf(*it, task.index).is_stop_under_way = false;
-      self->Pump();
+      self->ScheduleDecisionRound();
     }
   });
 }
 
-void OwnedService::LogEnds() {
+void OwnedService::LogEndedJobs() {
   for (const auto& it : book_.TakeEnded()) {
-    if (const auto* job = book_.Find(it)) LogEnd(*job);
+    if (const auto* job = book_.Find(it)) LogEndedJob(*job);
   }
 }
 
-void OwnedService::LogEnd(const JobEntry& job) {
+void OwnedService::LogEndedJob(const JobEntry& job) {
   if (!IsFinal(job.state) || ended_at_.contains(job.job->name)) return;
   const auto now = ports_.loop.Now();
   ended_at_.emplace(job.job->name, now);
--- a/src/dispatch/owned_service.cc
+++ b/src/dispatch/owned_service.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The job whose cancelling a row of the requests is; nothing for another row.
+/// The job that a row of the request table cancels; nothing for other rows.
 std::optional<base::JobName> CancelledJob(const std::string& key) {
   if (!key.ends_with(jobs::kCancelSuffix)) return std::nullopt;
   return base::JobName(key.substr(0, key.size() - jobs::kCancelSuffix.size()));
@@ -22,33 +22,34 @@
 
 OwnedService::OwnedService(const ServiceOwnerPorts& ports,
                            base::ServiceName service, Epoch epoch,
-                           bool former_is_gone,
+                           bool is_former_owner_gone,
                            const ServiceOwnerOptions& options,
-                           OwnerRights rights)
+                           OwnerPermissions permissions)
     : ports_(ports),
       service_(std::move(service)),
       epoch_(epoch),
-      former_is_gone_(former_is_gone),
+      is_former_owner_gone_(is_former_owner_gone),
       options_(options),
-      rights_(std::move(rights)),
-      taken_at_(ports.loop.Now()),
+      permissions_(std::move(permissions)),
+      acquired_at_(ports.loop.Now()),
       book_(fleet_),
       planner_(book_, fleet_, PlannerOptionsFor(options.bounds)),
       session_options_(SessionOptionsFor(options.bounds)),
       loader_(
           ports.loop, ports.store, service_, epoch,
           [this](LoadedService loaded) { OnLoaded(std::move(loaded)); },
-          [this](const std::string& reason) { Lose(reason); }) {}
+          [this](const std::string& reason) { GiveUpOwnership(reason); }) {}
 
 void OwnedService::Start() {
   loader_.Start();
   Tick();
 }
 
-void OwnedService::Lose(const std::string& reason) {
-  // The owner destroys this object; what is running now must end first.
+void OwnedService::GiveUpOwnership(const std::string& reason) {
+  // `on_lost` destroys this object, so it is called only after the present
+  // callback has returned.
   ports_.loop.Post([weak = weak_from_this(), reason] {
-    if (const auto self = weak.lock()) self->rights_.on_lost(reason);
+    if (const auto self = weak.lock()) self->permissions_.on_lost(reason);
   });
 }
 
@@ -56,59 +57,59 @@
 
 void OwnedService::OnLoaded(LoadedService loaded) {
   progress_rows_ = std::move(loaded.progress);
-  const auto parts = jobs::ProgressPartitions(service_);
+  const auto partitions = jobs::ProgressPartitions(service_);
   for (int i = 0; i < jobs::kProgressPartitionCount; ++i) {
     const auto index = static_cast<std::size_t>(i);
     recorders_.push_back(std::make_unique<Recorder>(
-        ports_.loop, ports_.store, parts[index], i, loaded.fences[index], book_,
-        RecorderOptions{},
-        [this](const std::string& reason) { Lose(reason); }));
+        ports_.loop, ports_.store, partitions[index], i, loaded.fences[index],
+        book_, RecorderOptions{},
+        [this](const std::string& reason) { GiveUpOwnership(reason); }));
   }
-  counter_.emplace(ports_.loop, ports_.store,
-                   jobs::WaitingCountsPartition(service_),
-                   loaded.fences.front(), book_);
+  waiting_counter_.emplace(ports_.loop, ports_.store,
+                           jobs::WaitingCountsPartition(service_),
+                           loaded.fences.front(), book_);
   FollowRequests();
 }
 
 void OwnedService::FollowRequests() {
   const auto weak = weak_from_this();
-  requests_.emplace(
+  request_follower_.emplace(
       ports_.loop, ports_.store, std::string(jobs::kRequestTable),
       jobs::RequestPartitions(service_), options_.lease.follow,
       store::FollowerEvents{
           [weak](const std::vector<StoredRow>& rows, store::RowVersion) {
-            if (const auto self = weak.lock()) self->OnAllRequests(rows);
+            if (const auto self = weak.lock()) self->OnRequestSnapshot(rows);
           },
           [weak](const std::vector<StoredRow>& rows, store::RowVersion) {
             const auto self = weak.lock();
             if (!self) return;
-            for (const auto& it : rows) self->OnRequest(it);
-            if (!rows.empty()) self->Pump();
+            for (const auto& it : rows) self->OnRequestRow(it);
+            if (!rows.empty()) self->ScheduleDecisionRound();
           },
           nullptr});
-  requests_->Start();
+  request_follower_->Start();
 }
 
-void OwnedService::OnAllRequests(const std::vector<StoredRow>& rows) {
-  for (const auto& it : rows) OnRequest(it);
+void OwnedService::OnRequestSnapshot(const std::vector<StoredRow>& rows) {
+  for (const auto& it : rows) OnRequestRow(it);
   if (!is_loaded_) {
     is_loaded_ = true;
-    RemoveOrphans(rows);
+    RemoveOrphanedProgress(rows);
     base::Log(base::events::kServiceLoaded,
               {{"service", service_.str()},
                {"epoch", epoch_},
                {"jobs", book_.jobs().size()},
                {"workers", workers_.size()},
-               {"after_ms", (ports_.loop.Now() - taken_at_).count()}});
-    counter_->Start();
+               {"after_ms", (ports_.loop.Now() - acquired_at_).count()}});
+    waiting_counter_->Start();
     for (auto& [name, worker] : workers_) worker.session->Start();
   }
-  Pump();
+  ScheduleDecisionRound();
 }
 
-void OwnedService::OnRequest(const StoredRow& row) {
+void OwnedService::OnRequestRow(const StoredRow& row) {
   if (const auto cancelled = CancelledJob(row.address.key)) {
-    if (!row.is_deleted) OnCancel(*cancelled);
+    if (!row.is_deleted) OnCancelRequest(*cancelled);
     return;
   }
   if (row.is_deleted) return;
@@ -130,19 +131,20 @@
       return;
     }
   }
-  // Clocks of two VMs may differ a little, and one may have jumped.
-  constexpr base::Duration kMostAge{600'000};
+  // The clocks of two VMs may differ slightly, and one may have jumped, so the
+  // age is limited to a plausible range.
+  constexpr base::Duration kMaxAge{600'000};
   const auto age =
       std::clamp(base::Duration(ports_.unix_ms() - job->accepted_ms),
-                 base::Duration(0), kMostAge);
+                 base::Duration(0), kMaxAge);
   const auto* entry = book_.Add(
       std::make_shared<const jobs::Job>(std::move(*job)),
       progress ? &*progress : nullptr, version, age, ports_.loop.Now());
-  // Its end was logged by the owner that saw it.
+  // The owner that recorded the end has logged it, so it is not logged again.
   if (IsFinal(entry->state)) ended_at_.emplace(name, ports_.loop.Now());
 }
 
-void OwnedService::OnCancel(const base::JobName& name) {
+void OwnedService::OnCancelRequest(const base::JobName& name) {
   auto* job = book_.Find(name);
   if (job == nullptr || IsFinal(job->state)) return;
   base::Log(base::events::kJobCancelled,
@@ -150,71 +152,74 @@
   book_.Cancel(*job);
 }
 
-// From time to time.
+// Periodic work.
 
 void OwnedService::Tick() {
   if (is_loaded_) {
     book_.BeginDue(ports_.unix_ms(), ports_.loop.Now());
-    CheckLapsed();
-    FindSilent();
-    CheckStalled();
-    NoteEvacuations();
-    DrainWorkers();
-    health_.Release(ports_.loop.Now());
-    RemoveOld();
-    Pump();
+    HandleExpiredLeases();
+    UpdateSilentDomains();
+    StopStalledUnits();
+    HandleEvacuationChanges();
+    StopUnitsOnDrainingWorkers();
+    worker_health_.Release(ports_.loop.Now());
+    RemoveExpiredJobs();
+    ScheduleDecisionRound();
   }
   ports_.loop.After(options_.tick, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->Tick();
   });
 }
 
-/// Removes the rows of jobs that ended long ago.
-void OwnedService::RemoveOld() {
+/// Removes jobs that ended more than `keep_ended` ago, and their rows, unless a
+/// task of theirs may still run or their progress is not recorded.
+void OwnedService::RemoveExpiredJobs() {
   const auto now = ports_.loop.Now();
-  std::vector<base::JobName> old;
+  std::vector<base::JobName> expired;
   for (const auto& [name, at] : ended_at_) {
-    if (now - at > options_.keep_ended) old.push_back(name);
+    if (now - at > options_.keep_ended) expired.push_back(name);
   }
-  for (const auto& name : old) {
+  for (const auto& name : expired) {
     auto* job = book_.Find(name);
-    const bool may_run =
+    const bool is_active =
         std::any_of(book_.active().begin(), book_.active().end(),
                     [job](const Unit* it) { return it->step->job == job; });
     const auto& recorder = *recorders_[static_cast<std::size_t>(job->part)];
-    if (may_run || !recorder.IsRecorded(name)) continue;
-    RemoveRows(name);
+    if (is_active || !recorder.IsRecorded(name)) continue;
+    RemoveJobRows(name);
     ended_at_.erase(name);
     book_.Remove(name);
   }
 }
 
-/// Progress was read before the requests, which are written first and removed
-/// first: what has none is left over from a removal that stopped halfway.
-void OwnedService::RemoveOrphans(const std::vector<StoredRow>& requests) {
-  std::set<std::string> present;
-  for (const auto& it : requests) present.insert(it.address.key);
+/// Removes progress rows without a request. A job's request is written before
+/// its progress and removed before it, and the progress was read before the
+/// requests, so such a row is left over from an incomplete removal.
+void OwnedService::RemoveOrphanedProgress(
+    const std::vector<StoredRow>& requests) {
+  std::set<std::string> request_keys;
+  for (const auto& it : requests) request_keys.insert(it.address.key);
   for (const auto& [name, row] : std::exchange(progress_rows_, {})) {
-    if (present.contains(name.str())) continue;
-    RemoveProgress(name);
+    if (request_keys.contains(name.str())) continue;
+    RemoveProgressRow(name);
   }
 }
 
-void OwnedService::RemoveProgress(const base::JobName& name) {
-  const auto part =
+void OwnedService::RemoveProgressRow(const base::JobName& name) {
+  const auto partition =
       static_cast<std::size_t>(jobs::ProgressPartitionIndex(name));
   ports_.store.Commit({jobs::ProgressPartition(service_, name),
                        {{std::string(kOwnerTable), std::string(kFenceKey),
-                         recorders_[part]->fence()}},
+                         recorders_[partition]->fence()}},
                        {},
                        {{std::string(jobs::kProgressTable), name.str()}}},
                       [](const store::RowsResult&) {});
 }
 
-/// Removes a job's rows, its request first: a request without progress would
-/// be taken for a new job. What a failure leaves behind, the next owner
-/// removes.
-void OwnedService::RemoveRows(const base::JobName& name) {
+/// Removes a job's rows, its request first, because a request without progress
+/// would be treated as a new job. If a failure leaves the progress row behind,
+/// the next owner removes it.
+void OwnedService::RemoveJobRows(const base::JobName& name) {
   const std::string requests(jobs::kRequestTable);
   ports_.store.Commit(
       {jobs::RequestPartition(service_, name),
@@ -224,9 +229,9 @@
         {requests, name.str() + std::string(jobs::kCancelSuffix)}}},
       [weak = weak_from_this(), name](const store::RowsResult& result) {
         const auto self = weak.lock();
-        const bool is_done =
+        const bool is_committed =
             std::holds_alternative<store::RowsCommitted>(result);
-        if (self && is_done) self->RemoveProgress(name);
+        if (self && is_committed) self->RemoveProgressRow(name);
       });
 }
 
--- a/src/dispatch/owned_workers.cc
+++ b/src/dispatch/owned_workers.cc
@@ -16,29 +16,29 @@
 void OwnedService::PutWorker(const WorkerEntry& entry) {
   if (entry.service != service_) return;
   auto& worker = workers_[entry.name];
-  // Most of what the feed tells are heartbeats that change nothing.
-  const bool is_known =
-      worker.session && worker.is_listed && worker.session->entry() == entry;
-  if (is_known) return;
-  NoteCapacity(entry);
+  // Most rows of the feed are heartbeats that change nothing.
+  const bool is_unchanged = worker.session && worker.is_registered &&
+                            worker.session->entry() == entry;
+  if (is_unchanged) return;
+  HandleCapacityChange(entry);
   fleet_.Put(entry);
-  worker.is_listed = true;
+  worker.is_registered = true;
   if (!worker.session) {
     OpenSession(entry);
-    return NoteDeparture(entry);
+    return RecordDeparture(entry);
   }
   worker.session->SetEntry(entry);
-  NoteDeparture(entry);
-  Pump();
+  RecordDeparture(entry);
+  ScheduleDecisionRound();
 }
 
 /// Logs a change of capacity. A reduction drops the reservations on the worker:
 /// the tasks being stopped for them may no longer free enough room.
-void OwnedService::NoteCapacity(const WorkerEntry& entry) {
-  const auto* place = fleet_.Find(entry.name);
-  if (place == nullptr || !place->is_known) return;
-  if (place->capacity == entry.capacity) return;
-  const bool has_shrunk = !entry.capacity.Covers(place->capacity);
+void OwnedService::HandleCapacityChange(const WorkerEntry& entry) {
+  const auto* fleet_worker = fleet_.Find(entry.name);
+  if (fleet_worker == nullptr || !fleet_worker->is_known) return;
+  if (fleet_worker->capacity == entry.capacity) return;
+  const bool is_reduction = !entry.capacity.Covers(fleet_worker->capacity);
   base::Log(base::events::kCapacityChanged,
             {{"service", service_.str()},
              {"worker", entry.name},
@@ -46,16 +46,17 @@
              {"memory_mb", entry.capacity.memory_mb},
              {"accelerators", entry.capacity.accelerators},
              {"tasks", book_.MembersOn(entry.name).size()}});
-  if (has_shrunk) book_.DropReservationsOn(entry.name);
+  if (is_reduction) book_.DropReservationsOn(entry.name);
 }
 
-/// A worker that leaves says how long it stays at least. Its entry may be as
-/// old as the feed's spacing, so the earliest time that was told counts.
-void OwnedService::NoteDeparture(const WorkerEntry& entry) {
+/// Records when a draining worker may leave. Its entry states the least time
+/// for which it stays, and may be as old as the interval between two feed
+/// reads, so the earliest of the resulting times is kept.
+void OwnedService::RecordDeparture(const WorkerEntry& entry) {
   if (!entry.is_draining || !entry.stays) return;
-  const auto at = ports_.loop.Now() + *entry.stays;
-  const auto [it, is_new] = departures_.try_emplace(entry.name, at);
-  it->second = std::min(it->second, at);
+  const auto departs_at = ports_.loop.Now() + *entry.stays;
+  const auto [it, is_new] = departures_.try_emplace(entry.name, departs_at);
+  it->second = std::min(it->second, departs_at);
   if (!is_new) return;
   base::Log(base::events::kWorkerLeaving,
             {{"service", service_.str()},
@@ -64,8 +65,8 @@
              {"stays_ms", entry.stays->count()}});
 }
 
-/// Stops what would be lost with a worker that leaves.
-void OwnedService::DrainWorkers() {
+/// Stops the units that would be lost when a draining worker leaves.
+void OwnedService::StopUnitsOnDrainingWorkers() {
   const auto now = ports_.loop.Now();
   for (auto* unit : FindDrained(book_, departures_, {}, now)) {
     const auto task = JobBook::NameOf(*unit, 0);
@@ -84,26 +85,26 @@
   const auto weak = weak_from_this();
   const auto name = entry.name;
   WorkerSession::Events events;
-  events.on_news = [weak, name](const WorkerNews& news, TimePoint sent) {
-    if (const auto self = weak.lock()) self->OnNews(name, news, sent);
+  events.on_news = [weak, name](const WorkerNews& report, TimePoint sent) {
+    if (const auto self = weak.lock()) self->OnWorkerReport(name, report, sent);
   };
   events.on_superseded = [weak] {
     if (const auto self = weak.lock()) {
-      self->Lose("a worker has seen a higher epoch");
+      self->GiveUpOwnership("a worker has seen a higher epoch");
     }
   };
   events.on_other_life = [weak, name] {
     const auto self = weak.lock();
     if (!self) return;
-    self->EndAllOn(name, WorkerLossReason::kOtherLife);
+    self->EndAllTasksOn(name, WorkerLossReason::kOtherLife);
     self->fleet_.Remove(name);
     self->departures_.erase(name);
     self->ports_.loop.Post([weak, name] {
-      if (const auto held = weak.lock()) held->workers_.erase(name);
+      if (const auto owned = weak.lock()) owned->workers_.erase(name);
     });
   };
-  events.may_renew = rights_.may_renew;
-  events.longest_lease = rights_.longest_lease;
+  events.may_renew = permissions_.may_renew;
+  events.longest_lease = permissions_.max_worker_lease;
   auto& worker = workers_[name];
   worker.session = std::make_unique<WorkerSession>(
       ports_.loop, ports_.workers, entry, epoch_, session_options_, events);
@@ -111,20 +112,20 @@
 }
 
 void OwnedService::RemoveWorker(const base::WorkerName& name) {
-  if (auto* worker = FindWorker(name)) worker->is_listed = false;
-  UpdateOpen();
+  if (auto* worker = FindWorker(name)) worker->is_registered = false;
+  UpdateWorkerStates();
 }
 
-bool OwnedService::IsEvacuated(const Worker& worker) const {
+bool OwnedService::IsInEvacuatedDomain(const Worker& worker) const {
   if (!ports_.evacuations) return false;
   return ports_.evacuations().domains.contains(worker.session->entry().domain);
 }
 
-bool OwnedService::KnowsEvacuations() const {
+bool OwnedService::HasFreshEvacuations() const {
   if (!ports_.evacuations) return true;
-  const auto& known = ports_.evacuations();
-  return known.as_of >= epoch_ &&
-         ports_.loop.Now() - known.confirmed < options_.evacuations_age;
+  const auto& evacuations = ports_.evacuations();
+  return evacuations.as_of >= epoch_ &&
+         ports_.loop.Now() - evacuations.confirmed < options_.evacuations_age;
 }
 
 bool OwnedService::HasFreshRegistrations() const {
@@ -134,123 +135,129 @@
 }
 
 bool OwnedService::IsWithinCapacity(const base::WorkerName& name) {
-  const auto* place = fleet_.Find(name);
-  if (place == nullptr) return false;
-  auto room = place->capacity;
-  room -= place->used;
-  room -= place->strays;
-  return room.Covers({});
+  const auto* fleet_worker = fleet_.Find(name);
+  if (fleet_worker == nullptr) return false;
+  auto remaining = fleet_worker->capacity;
+  remaining -= fleet_worker->used;
+  remaining -= fleet_worker->strays;
+  return remaining.Covers({});
 }
 
-/// Logs what has changed of the evacuations, and has it decided upon.
-void OwnedService::NoteEvacuations() {
+/// Logs changes of the evacuations and schedules a decision round if the set of
+/// evacuated domains has changed.
+void OwnedService::HandleEvacuationChanges() {
   if (!ports_.evacuations) return;
-  if (KnowsEvacuations() != knows_evacuations_) {
-    knows_evacuations_ = !knows_evacuations_;
-    base::Log(knows_evacuations_ ? base::events::kEvacuationsKnown
-                                 : base::events::kEvacuationsUnknown,
+  if (HasFreshEvacuations() != had_fresh_evacuations_) {
+    had_fresh_evacuations_ = !had_fresh_evacuations_;
+    base::Log(had_fresh_evacuations_ ? base::events::kEvacuationsKnown
+                                     : base::events::kEvacuationsUnknown,
               {{"service", service_.str()},
                {"as_of", ports_.evacuations().as_of},
                {"epoch", epoch_}});
   }
-  const auto& present = ports_.evacuations().domains;
-  if (present == evacuated_) return;
-  evacuated_ = present;
+  const auto& domains = ports_.evacuations().domains;
+  if (domains == logged_evacuated_domains_) return;
+  logged_evacuated_domains_ = domains;
   std::size_t tasks = 0;
   for (const auto& [name, worker] : workers_) {
-    if (IsEvacuated(worker)) tasks += book_.MembersOn(name).size();
+    if (IsInEvacuatedDomain(worker)) tasks += book_.MembersOn(name).size();
   }
   base::Log(base::events::kServiceEvacuates, {{"service", service_.str()},
-                                              {"domains", present.size()},
+                                              {"domains", domains.size()},
                                               {"tasks_there", tasks}});
-  Pump();
+  ScheduleDecisionRound();
 }
 
-/// Notes which failure domains are cut off: an order that is sent there has no
-/// answer, and what it should start waits for the worker's lease to run out.
-void OwnedService::FindSilent() {
+/// Detects the failure domains that have stopped answering. An order sent there
+/// gets no answer, and a task that it should start is delayed until the
+/// worker's lease has expired.
+void OwnedService::UpdateSilentDomains() {
   std::vector<PollState> polls;
   polls.reserve(workers_.size());
   for (const auto& [name, worker] : workers_) {
     const auto& session = *worker.session;
-    if (!worker.is_listed || !session.is_heard()) continue;
+    if (!worker.is_registered || !session.is_heard()) continue;
     polls.push_back(
         {session.entry().domain, session.LastAnswer(), session.AnswerDue()});
   }
   auto silent = FindSilentDomains(polls, {}, ports_.loop.Now());
-  if (silent == silent_) return;
+  if (silent == silent_domains_) return;
   for (const auto& it : silent) {
-    if (silent_.contains(it)) continue;
+    if (silent_domains_.contains(it)) continue;
     base::Log(base::events::kDomainSilent,
               {{"service", service_.str()}, {"domain", it.str()}});
   }
-  for (const auto& it : silent_) {
+  for (const auto& it : silent_domains_) {
     if (silent.contains(it)) continue;
     base::Log(base::events::kDomainAnswers,
               {{"service", service_.str()}, {"domain", it.str()}});
   }
-  silent_ = std::move(silent);
+  silent_domains_ = std::move(silent);
 }
 
-/// Whether each worker may get new tasks: it is registered, does not leave, is
-/// in no evacuated or silent domain, has answered lately and refused nothing.
-/// Both maps are in the order of names.
-void OwnedService::UpdateOpen() {
+/// Updates, for each worker in the fleet, whether it accepts new tasks, is
+/// suspect and has crashed recently. A worker accepts new tasks if it is
+/// registered, not draining and not excluded for failing tasks, is in no
+/// evacuated or silent domain, has answered recently and has not recently
+/// refused a start. `workers_` and the fleet are both ordered by name.
+void OwnedService::UpdateWorkerStates() {
   const auto now = ports_.loop.Now();
   auto it = workers_.begin();
-  for (auto& [name, place] : fleet_.workers()) {
+  for (auto& [name, fleet_worker] : fleet_.workers()) {
     while (it != workers_.end() && it->first < name) ++it;
     if (it == workers_.end()) return;
     if (it->first != name) continue;
     const auto& worker = it->second;
     const auto& session = *worker.session;
     const bool is_reached = session.is_heard() && session.IsReached() &&
-                            !silent_.contains(session.entry().domain);
-    const bool is_wanted = worker.is_listed && !session.entry().is_draining &&
-                           !IsEvacuated(worker);
-    place.is_open = is_reached && is_wanted && worker.closed_until <= now &&
-                    !health_.IsOut(name);
+                            !silent_domains_.contains(session.entry().domain);
+    const bool is_available = worker.is_registered &&
+                              !session.entry().is_draining &&
+                              !IsInEvacuatedDomain(worker);
+    fleet_worker.is_open = is_reached && is_available &&
+                           worker.paused_until <= now &&
+                           !worker_health_.IsOut(name);
     const auto& address = session.entry().endpoint;
-    place.is_suspect =
-        health_.IsSuspect(name, now) || crashes_.IsUnreliable(address, now);
-    place.has_recent_crash = crashes_.HasRecentCrash(address, now);
+    fleet_worker.is_suspect = worker_health_.IsSuspect(name, now) ||
+                              crash_history_.IsUnreliable(address, now);
+    fleet_worker.has_recent_crash = crash_history_.HasRecentCrash(address, now);
   }
 }
 
-void OwnedService::OnNews(const base::WorkerName& name, const WorkerNews& news,
-                          TimePoint sent) {
+void OwnedService::OnWorkerReport(const base::WorkerName& name,
+                                  const WorkerNews& report, TimePoint sent) {
   auto* worker = FindWorker(name);
   if (worker == nullptr) return;
   jobs::Resources strays;
-  for (const auto& it : news.running) {
-    auto* unit = FindRun(it.task, it.run);
+  for (const auto& it : report.running) {
+    auto* unit = FindUnitOfRun(it.task, it.run);
     if (unit != nullptr) {
-      OnRunning(name, it, sent);
+      OnTaskRunning(name, it, sent);
       continue;
     }
-    if (auto* former = book_.FindUnit(it.task)) {
-      strays += CountedNeeds(*former->step->step);
+    if (auto* stray_unit = book_.FindUnit(it.task)) {
+      strays += CountedNeeds(*stray_unit->step->step);
     }
     SendStop(it.task, it.run, name);
   }
-  if (auto* place = fleet_.Find(name)) place->strays = strays;
-  for (const auto& it : news.ended) OnEnded(name, it);
-  ResolveUnlisted(name, news, sent);
-  const auto told = worker->session->ends_received();
-  if (!news.ended.empty()) {
-    for (const auto& it : news.ended) worker->unrecorded.insert(it.task.job);
-    WhenRecorded(worker->unrecorded, [weak = weak_from_this(), name, told] {
+  if (auto* fleet_worker = fleet_.Find(name)) fleet_worker->strays = strays;
+  for (const auto& it : report.ended) OnTaskEnded(name, it);
+  EndUnreportedTasks(name, report, sent);
+  const auto last_end = worker->session->ends_received();
+  if (!report.ended.empty()) {
+    for (const auto& it : report.ended) worker->unrecorded.insert(it.task.job);
+    WhenRecorded(worker->unrecorded, [weak = weak_from_this(), name, last_end] {
       const auto self = weak.lock();
       auto* it = self ? self->FindWorker(name) : nullptr;
       if (it == nullptr) return;
-      if (it->session->ends_received() == told) it->unrecorded.clear();
-      it->session->EndsRecorded(told);
+      if (it->session->ends_received() == last_end) it->unrecorded.clear();
+      it->session->EndsRecorded(last_end);
     });
   }
-  Pump();
+  ScheduleDecisionRound();
 }
 
-Unit* OwnedService::FindRun(const jobs::TaskName& task, int run) {
+Unit* OwnedService::FindUnitOfRun(const jobs::TaskName& task, int run) {
   auto* unit = book_.FindUnit(task);
   if (unit == nullptr || unit->members.empty() || unit->last_run != run) {
     return nullptr;
@@ -259,9 +266,9 @@
   return member.state == MemberState::kOver ? nullptr : unit;
 }
 
-void OwnedService::OnRunning(const base::WorkerName& name,
-                             const RunningTask& task, TimePoint sent) {
-  auto* unit = FindRun(task.task, task.run);
+void OwnedService::OnTaskRunning(const base::WorkerName& name,
+                                 const RunningTask& task, TimePoint sent) {
+  auto* unit = FindUnitOfRun(task.task, task.run);
   auto& member = JobBook::MemberOf(*unit, task.task.index);
   if (member.worker != name) return;
   JobBook::OnCheckpoint(*unit, task.checkpoint, sent);
@@ -280,15 +287,16 @@
   member.confirmed = sent;
 }
 
-void OwnedService::OnEnded(const base::WorkerName& name, const EndedTask& end) {
-  auto* unit = FindRun(end.task, end.run);
-  const bool is_present =
+void OwnedService::OnTaskEnded(const base::WorkerName& name,
+                               const EndedTask& end) {
+  auto* unit = FindUnitOfRun(end.task, end.run);
+  const bool is_current_run =
       unit != nullptr &&
       JobBook::MemberOf(*unit, end.task.index).worker == name;
-  if (!is_present) {
-    auto* former = book_.FindUnit(end.task);
-    if (former == nullptr || end.kind != EndKind::kDone) return;
-    book_.OnEarlierDone(*former, end.run, ports_.loop.Now());
+  if (!is_current_run) {
+    auto* known_unit = book_.FindUnit(end.task);
+    if (known_unit == nullptr || end.kind != EndKind::kDone) return;
+    book_.OnEarlierDone(*known_unit, end.run, ports_.loop.Now());
     return;
   }
   if (end.kind != EndKind::kDone) {
@@ -303,17 +311,19 @@
                           {{"how", std::string(base::NameOf(end.kind))}});
   }
   const auto now = ports_.loop.Now();
-  if (health_.OnEnded(name, end.task.job, end.kind, workers_.size(), now)) {
+  if (worker_health_.OnEnded(name, end.task.job, end.kind, workers_.size(),
+                             now)) {
     base::Log(base::events::kWorkerPutOut,
               {{"service", service_.str()}, {"worker", name}});
   }
   book_.OnEnded(*unit, end.task.index, end.kind, end.checkpoint, now);
 }
 
-/// Members that the worker neither runs nor has listed as ended are over, when
-/// nothing that was sent can begin them any more.
-void OwnedService::ResolveUnlisted(const base::WorkerName& name,
-                                   const WorkerNews& news, TimePoint sent) {
+/// Marks as over the members that the worker reports neither as running nor as
+/// ended, once no order that was sent can still start them.
+void OwnedService::EndUnreportedTasks(const base::WorkerName& name,
+                                      const WorkerNews& report,
+                                      TimePoint sent) {
   for (const auto& it : book_.MembersOn(name)) {
     auto* unit = it.first;
     const int index = it.second;
@@ -321,20 +331,20 @@
     const jobs::TaskName task{unit->step->job->job->name,
                               unit->step->occurrence, unit->step->number,
                               index};
-    const bool is_listed =
-        std::any_of(news.running.begin(), news.running.end(),
+    const bool is_reported =
+        std::any_of(report.running.begin(), report.running.end(),
                     [&task, run = unit->last_run](const RunningTask& running) {
                       return running.task == task && running.run == run;
                     });
-    if (is_listed || member.state == MemberState::kPlanned) continue;
+    if (is_reported || member.state == MemberState::kPlanned) continue;
     const bool was_confirmed =
         member.confirmed != TimePoint{} && member.confirmed < sent &&
         (member.state == MemberState::kRunning || member.is_stop_confirmed);
-    // A start of a former owner has no known expiry here (0): this owner's
-    // epoch has ended it.
-    const bool is_too_late = member.state == MemberState::kUnconfirmed &&
-                             news.clock > member.expires;
-    if (!was_confirmed && !is_too_late) continue;
+    // The expiry of a start by a former owner is not known here and is 0. The
+    // worker refuses such a start since it has seen this owner's epoch.
+    const bool is_start_expired = member.state == MemberState::kUnconfirmed &&
+                                  report.clock > member.expires;
+    if (!was_confirmed && !is_start_expired) continue;
     base::Log(base::events::kTaskVanished, {{"request", task.job},
                                             {"task", TextOf(task)},
                                             {"run", unit->last_run},
@@ -343,11 +353,12 @@
   }
 }
 
-/// Stops runs that do not get on, to be started elsewhere: their worker stands
-/// still, though it renews its lease and answers.
-void OwnedService::CheckStalled() {
+/// Stops units with a task whose progress has stalled, so that they start on
+/// other workers. The worker of such a task makes no progress although it
+/// answers and its lease is renewed.
+void OwnedService::StopStalledUnits() {
   const auto now = ports_.loop.Now();
-  std::vector<Unit*> stalled;
+  std::vector<Unit*> stalled_units;
   for (auto* unit : book_.active()) {
     const auto& step = *unit->step->step;
     if (unit->is_stopping || unit->phase == jobs::UnitPhase::kDone) continue;
@@ -355,26 +366,28 @@
     const auto share = base::Duration(static_cast<std::int64_t>(
         options_.stalled_share *
         static_cast<double>(step.run_time_estimate.count())));
-    const auto patience = std::max(options_.stalled_after, share);
-    std::set<base::WorkerName> still;
+    const auto stall_limit = std::max(options_.stalled_after, share);
+    std::set<base::WorkerName> stalled_workers;
     for (const auto& it : unit->members) {
-      const bool is_still = it.state == MemberState::kRunning &&
-                            it.last_progress != TimePoint{} &&
-                            now - it.last_progress > patience;
-      if (is_still) still.insert(it.worker);
+      const bool is_stalled = it.state == MemberState::kRunning &&
+                              it.last_progress != TimePoint{} &&
+                              now - it.last_progress > stall_limit;
+      if (is_stalled) stalled_workers.insert(it.worker);
     }
-    if (still.empty()) continue;
-    // A whole gang stands still when one of its tasks does: which worker it is
-    // shows by what else is there.
+    if (stalled_workers.empty()) continue;
+    // A whole gang stalls when one of its tasks does, so a stalled gang does
+    // not show which worker is at fault. Only workers that are already excluded
+    // because of other tasks count.
     if (unit->members.size() == 1) {
-      health_.PutOut(*still.begin(), workers_.size(), now);
+      worker_health_.PutOut(*stalled_workers.begin(), workers_.size(), now);
     }
-    std::erase_if(still, [this](const auto& it) { return !health_.IsOut(it); });
-    if (still.empty()) continue;
-    unit->failed_on = std::move(still);
-    stalled.push_back(unit);
+    std::erase_if(stalled_workers,
+                  [this](const auto& it) { return !worker_health_.IsOut(it); });
+    if (stalled_workers.empty()) continue;
+    unit->failed_on = std::move(stalled_workers);
+    stalled_units.push_back(unit);
   }
-  for (auto* unit : stalled) {
+  for (auto* unit : stalled_units) {
     const auto task = JobBook::NameOf(*unit, 0);
     base::Log(base::events::kTaskStalled,
               {{"request", task.job},
@@ -385,38 +398,42 @@
   }
 }
 
-/// Ends what was on workers whose leases have certainly run out, and forgets
-/// those that are not registered any more.
-void OwnedService::CheckLapsed() {
+/// Ends the tasks on workers whose leases have certainly expired, and removes
+/// such workers if they are no longer registered.
+void OwnedService::HandleExpiredLeases() {
   const auto now = ports_.loop.Now();
-  // The leases that a former owner has given reach `orphan_reach` beyond its
-  // last renewal of the row at most, which was at least the row's lease before
-  // it was taken; those of one that is gone were given before.
+  // Worker leases granted by a former owner end at most `orphan_reach` after
+  // its last renewal of the service's row. That renewal happened at least one
+  // row lease before this owner acquired the row. A former owner that is known
+  // to be gone granted its leases before the acquisition, so they end within
+  // one worker lease after it.
   const auto& session = session_options_;
-  const auto reach = former_is_gone_
-                         ? session.lease
-                         : std::max(session.lease, options_.orphan_reach -
-                                                       options_.lease.length);
-  const auto unheard = reach + session.lease / 20 + session.clock_slack;
-  std::vector<base::WorkerName> gone;
+  const auto max_former_lease =
+      is_former_owner_gone_
+          ? session.lease
+          : std::max(session.lease,
+                     options_.orphan_reach - options_.lease.length);
+  const auto unanswered_expiry =
+      max_former_lease + session.lease / 20 + session.clock_slack;
+  std::vector<base::WorkerName> to_remove;
   for (auto& [name, worker] : workers_) {
     const auto& it = *worker.session;
     const bool has_lapsed =
-        it.is_heard() ? it.HasLapsed() : now - taken_at_ > unheard;
+        it.is_heard() ? it.HasLapsed() : now - acquired_at_ > unanswered_expiry;
     if (!has_lapsed) continue;
     if (!book_.MembersOn(name).empty()) {
-      EndAllOn(name, WorkerLossReason::kLapsed);
+      EndAllTasksOn(name, WorkerLossReason::kLapsed);
     }
-    if (!worker.is_listed) gone.push_back(name);
+    if (!worker.is_registered) to_remove.push_back(name);
   }
-  for (const auto& it : gone) {
+  for (const auto& it : to_remove) {
     workers_.erase(it);
     departures_.erase(it);
-    health_.Forget(it);
+    worker_health_.Forget(it);
     fleet_.Remove(it);
   }
-  if (now - taken_at_ <= unheard) return;
-  // Recorded starts at workers that were never seen under this epoch.
+  if (now - acquired_at_ <= unanswered_expiry) return;
+  // Recorded starts on workers that never registered under this epoch.
   std::map<base::WorkerName, Members> lost;
   for (auto* unit : book_.active()) {
     for (std::size_t i = 0; i < unit->members.size(); ++i) {
@@ -436,7 +453,7 @@
 void OwnedService::SetGuarantees(
     std::map<base::OrganisationName, std::int64_t> guarantees) {
   planner_.SetGuarantees(std::move(guarantees));
-  Pump();
+  ScheduleDecisionRound();
 }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/service_owner.cc
+++ b/src/dispatch/service_owner.cc
@@ -55,7 +55,7 @@
               {{"service", service_.str()},
                {"epoch", epoch},
                {"former_is_gone", former_is_gone ? "yes" : "unknown"}});
-    const internal::OwnerRights rights{
+    const internal::OwnerPermissions rights{
         [this] { return lease_.IsCertain(); },
         [this] {
           return lease_.is_holder() &&
--- a/test/dispatch/domain_evacuation_test.cc
+++ b/test/dispatch/domain_evacuation_test.cc
@@ -8,23 +8,24 @@
 
 using jobs::JobState;
 
-/// From the operators' request until nothing starts there any more. Each rack
-/// of four workers is a domain in this world.
-constexpr int kInForceMs = 2'000;
+/// Time after the operators' request from which no task may start in the
+/// domain.
+constexpr int kEvacuationDelayMs = 2'000;
 
 jobs::TaskName TaskOf(const std::string& job, int index) {
   return {base::JobName(job), 0, 0, index};
 }
 
-/// Tasks that run on the workers of rack `domain`.
-int RunningIn(OwnerWorld& world, const std::string& job, int tasks,
-              int domain) {
-  constexpr int kPerRack = 4;
+/// Number of the first `tasks` tasks of `job` that run on workers of `domain`.
+/// Each rack of four workers is a failure domain here.
+int CountRunningIn(OwnerWorld& world, const std::string& job, int tasks,
+                   int domain) {
+  constexpr int kRackSize = 4;
   int out = 0;
   for (int i = 0; i < tasks; ++i) {
-    const auto where = world.workers().WhereRuns(TaskOf(job, i));
-    for (int k = 0; k < kPerRack; ++k) {
-      if (where == OwnerWorld::WorkerCalled(domain * kPerRack + k)) ++out;
+    const auto worker = world.workers().WhereRuns(TaskOf(job, i));
+    for (int k = 0; k < kRackSize; ++k) {
+      if (worker == OwnerWorld::WorkerNameAt(domain * kRackSize + k)) ++out;
     }
   }
   return out;
@@ -36,25 +37,26 @@
   };
 }
 
-TEST_CASE("nothing starts in an evacuated domain until it is taken back") {
+TEST_CASE(
+    "no task starts in an evacuated domain until the evacuation is cancelled") {
   OwnerWorld world(2, 8);
   world.RunFor(1'000);
   world.Evacuate(0);
-  world.RunFor(kInForceMs);
-  // More than the other domain holds.
+  world.RunFor(kEvacuationDelayMs);
+  // Six tasks, of which the other domain can run only four.
   world.Submit(OwnerWorld::MakeJob("plan", 6, 8));
   world.RunFor(1'000);
-  CHECK(RunningIn(world, "plan", 6, 0) == 0);
-  CHECK(RunningIn(world, "plan", 6, 1) == 4);
-  world.TakeBack(0);
+  CHECK(CountRunningIn(world, "plan", 6, 0) == 0);
+  CHECK(CountRunningIn(world, "plan", 6, 1) == 4);
+  world.CancelEvacuation(0);
   world.RunFor(500);
-  CHECK(RunningIn(world, "plan", 6, 0) == 2);
+  CHECK(CountRunningIn(world, "plan", 6, 0) == 2);
   world.RunFor(5'000);
   CHECK(world.StateOf("plan") == JobState::kCompleted);
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("what runs in a domain when it is evacuated runs to its end") {
+TEST_CASE("tasks that run in a domain when it is evacuated run to completion") {
   OwnerWorld world(1, 8);
   world.RunFor(1'000);
   SetRunTime(world, 6'000);
@@ -68,7 +70,7 @@
   }
 }
 
-TEST_CASE("a failed task of an evacuated domain starts elsewhere") {
+TEST_CASE("a failed task of an evacuated domain restarts in another domain") {
   OwnerWorld world(1, 8);
   world.RunFor(1'000);
   SetRunTime(world, 3'000);
@@ -77,30 +79,32 @@
   };
   world.Submit(OwnerWorld::MakeJob("plan", 4, 8));
   world.RunFor(500);
-  const int there = RunningIn(world, "plan", 4, 0) > 0 ? 0 : 1;
-  world.Evacuate(there);
+  const int evacuated_domain = CountRunningIn(world, "plan", 4, 0) > 0 ? 0 : 1;
+  world.Evacuate(evacuated_domain);
   world.RunFor(3'500);
-  CHECK(RunningIn(world, "plan", 4, there) == 0);
-  CHECK(RunningIn(world, "plan", 4, 1 - there) == 4);
+  CHECK(CountRunningIn(world, "plan", 4, evacuated_domain) == 0);
+  CHECK(CountRunningIn(world, "plan", 4, 1 - evacuated_domain) == 4);
 }
 
-TEST_CASE("a start that is recorded and not sent is taken back") {
+TEST_CASE("a start that is recorded but not sent is withdrawn on evacuation") {
   OwnerWorld world(1, 8);
   world.RunFor(1'000);
-  // The record of the start takes longer than the evacuation needs to be told.
+  // Recording the start takes longer than the evacuation needs to reach the
+  // owner.
   world.store().commit_time = base::Duration(600);
   world.Evacuate(1);
   world.Submit(OwnerWorld::MakeJob("plan", 4, 8));
   world.RunFor(900);
-  world.TakeBack(1);
+  world.CancelEvacuation(1);
   world.Evacuate(0);
   world.RunFor(3'000);
   CHECK(world.workers().starts(TaskOf("plan", 0)) >= 1);
-  CHECK(RunningIn(world, "plan", 4, 0) == 0);
+  CHECK(CountRunningIn(world, "plan", 4, 0) == 0);
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("a gang that is planned half inside starts whole outside") {
+TEST_CASE(
+    "a gang planned partly in an evacuated domain starts wholly outside it") {
   OwnerWorld world(1, 12);
   world.RunFor(1'000);
   world.store().commit_time = base::Duration(600);
@@ -110,33 +114,35 @@
   world.RunFor(700);
   world.Evacuate(0);
   world.RunFor(3'000);
-  CHECK(RunningIn(world, "gang", 8, 0) == 0);
-  CHECK(RunningIn(world, "gang", 8, 1) + RunningIn(world, "gang", 8, 2) == 8);
+  CHECK(CountRunningIn(world, "gang", 8, 0) == 0);
+  CHECK(CountRunningIn(world, "gang", 8, 1) +
+            CountRunningIn(world, "gang", 8, 2) ==
+        8);
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("all domains but one may be evacuated, and all") {
+TEST_CASE("tasks run in the only domain that is not evacuated, or else wait") {
   OwnerWorld world(1, 12);
   world.RunFor(1'000);
   world.Evacuate(0);
   world.Evacuate(1);
-  world.RunFor(kInForceMs);
+  world.RunFor(kEvacuationDelayMs);
   world.Submit(OwnerWorld::MakeJob("plan", 4, 8));
   world.RunFor(500);
-  CHECK(RunningIn(world, "plan", 4, 2) == 4);
+  CHECK(CountRunningIn(world, "plan", 4, 2) == 4);
   world.RunFor(3'000);
   CHECK(world.StateOf("plan") == JobState::kCompleted);
   world.Evacuate(2);
-  world.RunFor(kInForceMs);
+  world.RunFor(kEvacuationDelayMs);
   world.Submit(OwnerWorld::MakeJob("held", 1, 1));
   world.RunFor(8'000);
   CHECK(world.StateOf("held") == JobState::kQueued);
-  world.TakeBack(1);
+  world.CancelEvacuation(1);
   world.RunFor(500);
-  CHECK(RunningIn(world, "held", 1, 1) == 1);
+  CHECK(CountRunningIn(world, "held", 1, 1) == 1);
 }
 
-TEST_CASE("guaranteed work stops what runs outside an evacuated domain") {
+TEST_CASE("guaranteed work preempts tasks only outside an evacuated domain") {
   OwnerWorld world(1, 8);
   world.SetGuarantee("crews", 16);
   world.RunFor(1'000);
@@ -146,85 +152,88 @@
   world.Submit(quiet);
   world.RunFor(1'000);
   world.Evacuate(0);
-  world.RunFor(kInForceMs);
+  world.RunFor(kEvacuationDelayMs);
   auto urgent = OwnerWorld::MakeJob("urgent", 2, 8);
   urgent.priority = 0;
   world.Submit(urgent);
   world.RunFor(2'900);
-  CHECK(RunningIn(world, "urgent", 2, 1) == 2);
-  // What runs in the evacuated domain is left alone.
-  CHECK(RunningIn(world, "quiet", 8, 0) == 4);
+  CHECK(CountRunningIn(world, "urgent", 2, 1) == 2);
+  // Tasks in the evacuated domain are not preempted.
+  CHECK(CountRunningIn(world, "quiet", 8, 0) == 4);
 }
 
-TEST_CASE(
-    "a new owner keeps to the evacuations, at whatever moment it begins") {
-  for (const int moment : {0, 100, 300, 500, 900, 1'500, 2'500}) {
+TEST_CASE("a new owner respects an evacuation whenever it takes over") {
+  for (const int takeover_delay_ms : {0, 100, 300, 500, 900, 1'500, 2'500}) {
     OwnerWorld world(3, 8);
     world.RunFor(1'000);
     SetRunTime(world, 1'500);
     world.Submit(OwnerWorld::MakeJob("plan", 60, 8));
     world.RunFor(500);
     world.Evacuate(0);
-    world.RunFor(moment);
+    world.RunFor(takeover_delay_ms);
     world.KillOwner(world.OwnerName());
-    world.RunFor(kInForceMs);
+    world.RunFor(kEvacuationDelayMs);
     for (int ms = 0; ms < 8'000; ms += 100) {
       world.RunFor(100);
-      // What began before the evacuation has ended.
-      CHECK((ms < 1'500 || RunningIn(world, "plan", 60, 0) == 0));
+      // After 1.5 s, tasks that started before the evacuation have ended.
+      CHECK((ms < 1'500 || CountRunningIn(world, "plan", 60, 0) == 0));
     }
-    CHECK(RunningIn(world, "plan", 60, 1) > 0);
+    CHECK(CountRunningIn(world, "plan", 60, 1) > 0);
     CHECK(world.workers().violations().empty());
   }
 }
 
-TEST_CASE("an owner that was not told of evacuations starts nothing") {
+TEST_CASE(
+    "an owner whose evacuations are older than its epoch starts nothing") {
   OwnerWorld world(2, 8);
   world.RunFor(1'000);
   const auto former = world.OwnerName();
-  const std::string next = former == "vm0" ? "vm1" : "vm0";
-  // Its feed lags behind the moment at which it takes the service.
-  world.FreezeEvacuations(next);
+  const std::string successor = former == "vm0" ? "vm1" : "vm0";
+  // The successor's feed lags behind the version at which it acquires the
+  // service.
+  world.PauseEvacuations(successor);
   world.Evacuate(0);
   world.RunFor(200);
   world.KillOwner(former);
   world.Submit(OwnerWorld::MakeJob("plan", 2, 8));
   world.RunFor(4'000);
-  CHECK(world.OwnerName() == next);
+  CHECK(world.OwnerName() == successor);
   CHECK(world.workers().running() == 0);
-  world.ThawEvacuations(next);
+  world.ResumeEvacuations(successor);
   world.RunFor(500);
-  CHECK(RunningIn(world, "plan", 2, 1) == 2);
+  CHECK(CountRunningIn(world, "plan", 2, 1) == 2);
 }
 
-TEST_CASE("an owner that has not heard of evacuations lately starts nothing") {
+TEST_CASE(
+    "an owner without a recent confirmation of evacuations starts nothing") {
   OwnerWorld world(1, 8);
   world.RunFor(1'000);
-  world.FreezeEvacuations("vm0");
+  world.PauseEvacuations("vm0");
   world.RunFor(3'000);
   world.Evacuate(0);
   world.Submit(OwnerWorld::MakeJob("plan", 8, 8));
   world.RunFor(1'000);
   CHECK(world.workers().running() == 0);
-  world.ThawEvacuations("vm0");
+  world.ResumeEvacuations("vm0");
   world.RunFor(500);
-  CHECK(RunningIn(world, "plan", 8, 1) == 4);
-  CHECK(RunningIn(world, "plan", 8, 0) == 0);
+  CHECK(CountRunningIn(world, "plan", 8, 1) == 4);
+  CHECK(CountRunningIn(world, "plan", 8, 0) == 0);
 }
 
-TEST_CASE("a domain is evacuated while another one is taken back") {
+TEST_CASE(
+    "a domain is evacuated while the evacuation of another is cancelled") {
   OwnerWorld world(2, 12);
   world.RunFor(1'000);
   world.Evacuate(0);
-  world.RunFor(kInForceMs);
-  world.TakeBack(0);
+  world.RunFor(kEvacuationDelayMs);
+  world.CancelEvacuation(0);
   world.Evacuate(1);
-  world.RunFor(kInForceMs);
+  world.RunFor(kEvacuationDelayMs);
   world.Submit(OwnerWorld::MakeJob("plan", 10, 8));
   world.RunFor(500);
-  CHECK(RunningIn(world, "plan", 10, 0) == 4);
-  CHECK(RunningIn(world, "plan", 10, 1) == 0);
-  CHECK(RunningIn(world, "plan", 10, 2) == 4);
+  CHECK(CountRunningIn(world, "plan", 10, 0) == 4);
+  CHECK(CountRunningIn(world, "plan", 10, 1) == 0);
+  CHECK(CountRunningIn(world, "plan", 10, 2) == 4);
 }
 
 }  // namespace
--- a/test/dispatch/owner_history_test.cc
+++ b/test/dispatch/owner_history_test.cc
@@ -116,7 +116,7 @@
 
   std::string AnyOwner() { return "vm" + std::to_string(Draw(0, kOwners - 1)); }
   base::WorkerName AnyWorker() {
-    return OwnerWorld::WorkerCalled(Draw(0, kWorkers - 1));
+    return OwnerWorld::WorkerNameAt(Draw(0, kWorkers - 1));
   }
 
   void Disturb() {
--- a/test/dispatch/owner_load_test.cc
+++ b/test/dispatch/owner_load_test.cc
@@ -83,7 +83,7 @@
   }
   world.RunFor(2'000);
   // All but a few that three of a second share a part with.
-  CHECK(world.accepted() >= kJobs * 95 / 100);
+  CHECK(world.accepted_count() >= kJobs * 95 / 100);
   CHECK(world.OwnerName() == owner);
 }
 
--- a/test/dispatch/owner_test.cc
+++ b/test/dispatch/owner_test.cc
@@ -307,7 +307,7 @@
   const auto former = world.OwnerName();
   world.store().SetFault(former, StoreFault::kSilent);
   world.workers().Crash(worker);
-  world.Unlist(worker);
+  world.Deregister(worker);
   world.RunFor(2'500);
   REQUIRE_FALSE(world.OwnerName().empty());
   CHECK(world.workers().running() == 0);
@@ -320,7 +320,7 @@
   OwnerWorld world(2, 3);
   world.RunFor(1'000);
   for (int i = 0; i < 3; ++i) {
-    world.workers().MakeNextStartLate(OwnerWorld::WorkerCalled(i),
+    world.workers().MakeNextStartLate(OwnerWorld::WorkerNameAt(i),
                                       base::Duration(5'000));
   }
   world.Submit(OwnerWorld::MakeJob("plan", 6, 2));
@@ -339,7 +339,7 @@
   world.RunFor(1'000);
   const auto lost = world.workers().WhereRuns(TaskOf("plan", 0));
   world.workers().Crash(lost);
-  world.Unlist(lost);
+  world.Deregister(lost);
   world.RunFor(18'000);
   CHECK(world.StateOf("plan") == JobState::kCompleted);
   CHECK(world.workers().violations().empty());
@@ -361,7 +361,7 @@
   world.RunFor(2'000);
   CHECK(world.workers().WhereRuns(TaskOf("gang", 0)) != leaving);
   world.workers().Crash(leaving);
-  world.Unlist(leaving);
+  world.Deregister(leaving);
   // Lost with its worker, it would begin again 5.9 s later.
   world.RunFor(4'000);
   CHECK(world.StateOf("gang") == JobState::kCompleted);
@@ -385,7 +385,7 @@
   OwnerWorld world(1, 1);
   world.RunFor(1'000);
   WorkerEntry entry;
-  entry.name = OwnerWorld::WorkerCalled(0);
+  entry.name = OwnerWorld::WorkerNameAt(0);
   entry.service = base::ServiceName("another");
   world.owner("vm0").PutWorker(entry);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
@@ -407,12 +407,12 @@
   world.RunFor(500);
   CHECK(world.workers().running() == 2);
   world.KillOwner("vm0");
-  world.Unlist(OwnerWorld::WorkerCalled(0));
+  world.Deregister(OwnerWorld::WorkerNameAt(0));
   world.StartOwner("vm1");
   world.RunFor(3'000);
   // It is registered again, and what was recorded there ends.
   WorkerEntry entry;
-  entry.name = OwnerWorld::WorkerCalled(0);
+  entry.name = OwnerWorld::WorkerNameAt(0);
   entry.service = base::ServiceName(OwnerWorld::kService);
   entry.rack = base::RackName("r0");
   entry.capacity = {OwnerWorld::kCoresMillis, OwnerWorld::kMemoryMb,
@@ -438,7 +438,7 @@
   world.RunFor(500);
   const auto lost = world.workers().WhereRuns(TaskOf("plan", 0));
   world.workers().Crash(lost);
-  world.Unlist(lost);
+  world.Deregister(lost);
   world.RunFor(12'000);
   CHECK(world.StateOf("plan") == JobState::kCompleted);
 }
@@ -560,7 +560,7 @@
 TEST_CASE("a worker that fails all it starts does not use up the attempts") {
   OwnerWorld world(1, 4);
   world.RunFor(1'000);
-  world.workers().FailAll(OwnerWorld::WorkerCalled(0), true);
+  world.workers().FailAll(OwnerWorld::WorkerNameAt(0), true);
   for (int i = 0; i < 20; ++i) {
     world.Submit(OwnerWorld::MakeJob("job" + std::to_string(i), 2, 2));
     world.RunFor(300);
--- a/test/dispatch/owner_world.h
+++ b/test/dispatch/owner_world.h
@@ -16,8 +16,9 @@
 
 namespace lapishatch::dispatch {
 
-/// Some candidates for owning one service, its workers and its store, all in
-/// virtual time. Jobs are submitted by an entry that no fault touches.
+/// Simulates, in virtual time, several processes that compete to own one
+/// service, with its workers and its store. Jobs are submitted through a
+/// connection to the store that has no faults.
 class OwnerWorld {
  public:
   static constexpr const char* kService = "survey";
@@ -39,35 +40,37 @@
     for (int i = 0; i < owners; ++i) StartOwner("vm" + std::to_string(i));
   }
 
-  static base::WorkerName WorkerCalled(int i) {
+  /// Name of worker `i` before any restart.
+  static base::WorkerName WorkerNameAt(int i) {
     return base::WorkerName("w" + std::to_string(i));
   }
 
-  /// Of the workers of rack `i`.
-  static base::DomainName DomainCalled(int i) {
+  /// Failure domain of the workers of rack `i`.
+  static base::DomainName DomainNameAt(int i) {
     return base::DomainName("d" + std::to_string(i));
   }
 
-  /// Operators ask for a domain to be emptied, or take it back.
-  void Evacuate(int domain) { TellEvacuation(domain, true); }
-  void TakeBack(int domain) { TellEvacuation(domain, false); }
+  /// Requests the evacuation of a domain, or cancels it, as operators do.
+  void Evacuate(int domain) { SetEvacuated(domain, true); }
+  void CancelEvacuation(int domain) { SetEvacuated(domain, false); }
 
-  /// What an owner knows of the evacuations stays as it is until Thaw.
-  void FreezeEvacuations(const std::string& name) {
-    views_.at(name).is_frozen = true;
+  /// The owner on VM `name` sees no change of the evacuations until
+  /// ResumeEvacuations.
+  void PauseEvacuations(const std::string& name) {
+    observed_states_.at(name).has_stale_evacuations = true;
   }
-  void ThawEvacuations(const std::string& name) {
-    views_.at(name).is_frozen = false;
+  void ResumeEvacuations(const std::string& name) {
+    observed_states_.at(name).has_stale_evacuations = false;
   }
 
   void AddWorker(int i) {
-    constexpr int kPerRack = 4;
+    constexpr int kRackSize = 4;
     WorkerEntry entry;
-    entry.name = WorkerCalled(i);
+    entry.name = WorkerNameAt(i);
     entry.service = base::ServiceName(kService);
     entry.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1 + i)};
-    entry.rack = base::RackName("r" + std::to_string(i / kPerRack));
-    entry.domain = DomainCalled(i / kPerRack);
+    entry.rack = base::RackName("r" + std::to_string(i / kRackSize));
+    entry.domain = DomainNameAt(i / kRackSize);
     entry.labels = {"a", entry.rack.str()};
     entry.capacity = {kCoresMillis, kMemoryMb, kAccelerators};
     entries_[entry.name] = entry;
@@ -85,17 +88,17 @@
         Restart(entry, changes_address);
       });
       constexpr base::Duration kRegistrationExpiry{4'500};
-      time_.After(kRegistrationExpiry, [this, name] { Unlist(name); });
+      time_.After(kRegistrationExpiry, [this, name] { Deregister(name); });
     };
   }
 
   /// Name of worker `i` after its latest restart, if any.
   base::WorkerName CurrentWorkerName(int i) const {
-    const auto it = current_names_.find(WorkerCalled(i));
-    return it == current_names_.end() ? WorkerCalled(i) : it->second;
+    const auto it = current_names_.find(WorkerNameAt(i));
+    return it == current_names_.end() ? WorkerNameAt(i) : it->second;
   }
 
-  /// The worker says that it leaves, after `stays` at the earliest.
+  /// The worker announces that it leaves, after `stays` at the earliest.
   void Drain(const base::WorkerName& name, base::Duration stays) {
     auto& entry = entries_.at(name);
     entry.is_draining = true;
@@ -103,7 +106,8 @@
     for (const auto& [unused, owner] : owners_) owner->PutWorker(entry);
   }
 
-  /// From a change of capacity until starts over the new one are violations.
+  /// Time after a change of capacity until starts that exceed the new capacity
+  /// are violations.
   static constexpr base::Duration kCapacityGrace{4'500};
 
   /// Changes a worker's capacity; its registration shows it after
@@ -118,7 +122,7 @@
       if (it == entries_.end()) return;
       it->second.capacity = current_capacities_.at(name);
       for (const auto& [vm, owner] : owners_) {
-        if (views_.at(vm).has_stale_registrations) continue;
+        if (observed_states_.at(vm).has_stale_registrations) continue;
         owner->PutWorker(it->second);
       }
     });
@@ -126,29 +130,29 @@
 
   /// The owner on `vm` reads no registrations until ResumeRegistrations.
   void PauseRegistrations(const std::string& vm) {
-    auto& view = views_.at(vm);
-    view.has_stale_registrations = true;
-    view.registrations_read = time_.Now();
+    auto& observed = observed_states_.at(vm);
+    observed.has_stale_registrations = true;
+    observed.registrations_read = time_.Now();
   }
   void ResumeRegistrations(const std::string& vm) {
-    views_.at(vm).has_stale_registrations = false;
-    TellWorkers(vm);
+    observed_states_.at(vm).has_stale_registrations = false;
+    PutAllWorkers(vm);
   }
 
-  /// The worker's registration goes; whether it runs on is another matter.
-  void Unlist(const base::WorkerName& name) {
+  /// Removes the worker's registration. The worker itself is not stopped.
+  void Deregister(const base::WorkerName& name) {
     entries_.erase(name);
     for (const auto& [unused, owner] : owners_) owner->RemoveWorker(name);
   }
 
-  /// A candidate on a VM with so many cores.
+  /// Starts a candidate for ownership on VM `name`, which has `cores` cores.
   void StartOwner(const std::string& name, double cores = 1) {
     ServiceOwnerOptions options;
     options.lease.handicap = HandicapOf(cores);
-    views_.try_emplace(name);
+    observed_states_.try_emplace(name);
     auto& vm = vms_[name];
     vm = std::make_unique<Vm>(time_, store_.For(name), workers_.For(name));
-    vm->processor.SetCost(cost_);
+    vm->processor.SetCost(processor_cost_);
     auto owner = std::make_unique<ServiceOwner>(
         ServiceOwnerPorts{
             vm->processor, vm->store, vm->workers,
@@ -156,13 +160,16 @@
             [this] { return time_.Now().time_since_epoch().count(); },
             &metrics_,
             [this, name](bool is_owner) {
-              if (is_owner) TellWorkers(name);
+              if (is_owner) PutAllWorkers(name);
+            },
+            [this, name]() -> const Evacuations& {
+              return EvacuationsOf(name);
             },
-            [this, name]() -> const Evacuations& { return ViewOf(name); },
             [this, name] {
-              const auto& view = views_.at(name);
-              return view.has_stale_registrations ? view.registrations_read
-                                                  : time_.Now();
+              const auto& observed = observed_states_.at(name);
+              return observed.has_stale_registrations
+                         ? observed.registrations_read
+                         : time_.Now();
             }},
         base::ServiceName(kService), name, options);
     owner->SetGuarantees(guarantees_);
@@ -170,36 +177,37 @@
     owners_[name] = std::move(owner);
   }
 
-  void TellWorkers(const std::string& name) {
+  /// Passes all registered workers to the owner on VM `name`.
+  void PutAllWorkers(const std::string& name) {
     for (const auto& [unused, entry] : entries_) {
       owners_.at(name)->PutWorker(entry);
     }
   }
 
-  /// The process is gone from one moment to the next.
+  /// Ends the process without any shutdown.
   void KillOwner(const std::string& name) {
     owners_.erase(name);
     vms_.erase(name);
   }
 
-  /// What each task of an owner's processor takes from now on.
+  /// Sets the time that each callback on an owner's event loop takes.
   void SetCost(const std::string& name, base::Duration cost) {
     const auto it = vms_.find(name);
     if (it != vms_.end()) it->second->processor.SetCost(cost);
   }
 
-  /// What each order of an owner takes on its link from now on.
+  /// Sets the time that each order of an owner occupies its network link.
   void SetLinkTime(const std::string& name, base::Duration time) {
     vms_.at(name)->workers.SetLinkTime(time);
   }
 
-  /// A processor's cost for all owners, also for those that are started later.
+  /// Like SetCost, for all present and future owners.
   void SetCostForAll(base::Duration cost) {
-    cost_ = cost;
+    processor_cost_ = cost;
     for (const auto& [name, vm] : vms_) vm->processor.SetCost(cost);
   }
 
-  /// The name of a process that holds the service, or an empty text.
+  /// The VM of a process that owns the service, or an empty string.
   std::string OwnerName() const {
     for (const auto& [name, owner] : owners_) {
       if (owner->is_owner()) return name;
@@ -238,23 +246,24 @@
   void Submit(jobs::Job job) {
     job.accepted_ms = time_.Now().time_since_epoch().count();
     jobs_[job.name] = job;
-    entry_.Submit(job, [this, name = job.name](const jobs::SubmitResult& it) {
-      if (std::holds_alternative<jobs::JobAccepted>(it)) accepted_.insert(name);
+    client_.Submit(job, [this, name = job.name](const jobs::SubmitResult& r) {
+      if (std::holds_alternative<jobs::JobAccepted>(r)) accepted_.insert(name);
     });
   }
 
-  /// Jobs of which the store has said that they are there.
-  std::size_t accepted() const { return accepted_.size(); }
+  /// Number of jobs whose acceptance the store has confirmed.
+  std::size_t accepted_count() const { return accepted_.size(); }
 
   void Cancel(const std::string& job) {
-    entry_.Cancel(base::ServiceName(kService), base::JobName(job),
-                  [](const jobs::CancelResult&) {});
+    client_.Cancel(base::ServiceName(kService), base::JobName(job),
+                   [](const jobs::CancelResult&) {});
   }
 
-  /// What a caller is told; nothing while it is not known.
+  /// The state of the job as a caller reads it; empty while it is unknown. Runs
+  /// the simulation for 20 ms.
   std::optional<jobs::JobState> StateOf(const std::string& job) {
     std::optional<jobs::JobState> out;
-    entry_.ReadState(
+    client_.ReadState(
         base::ServiceName(kService), base::JobName(job),
         [&out](const jobs::StateResult& it) {
           if (const auto* state = std::get_if<jobs::JobState>(&it)) {
@@ -274,10 +283,10 @@
   const std::map<base::JobName, jobs::Job>& jobs() const { return jobs_; }
 
  private:
-  /// What one owner's process knows of the evacuations.
-  struct View {
-    Evacuations known;
-    bool is_frozen = false;
+  /// What one owner's process knows of the evacuations and registrations.
+  struct ObservedState {
+    Evacuations evacuations;
+    bool has_stale_evacuations = false;
     bool has_stale_registrations = false;
     base::TimePoint registrations_read{};
   };
@@ -298,20 +307,21 @@
     for (const auto& [unused, owner] : owners_) owner->PutWorker(entry);
   }
 
-  void TellEvacuation(int domain, bool is_asked) {
-    if (is_asked) {
-      evacuated_.insert(DomainCalled(domain));
+  void SetEvacuated(int domain, bool is_evacuated) {
+    if (is_evacuated) {
+      evacuated_domains_.insert(DomainNameAt(domain));
     } else {
-      evacuated_.erase(DomainCalled(domain));
+      evacuated_domains_.erase(DomainNameAt(domain));
     }
   }
 
-  const Evacuations& ViewOf(const std::string& name) {
-    auto& view = views_.at(name);
-    if (!view.is_frozen) {
-      view.known = {evacuated_, store_.version(), time_.Now()};
+  const Evacuations& EvacuationsOf(const std::string& name) {
+    auto& observed = observed_states_.at(name);
+    if (!observed.has_stale_evacuations) {
+      observed.evacuations = {evacuated_domains_, store_.version(),
+                              time_.Now()};
     }
-    return view.known;
+    return observed.evacuations;
   }
 
   jobs::Resources NeedsOf(const jobs::TaskName& task) const {
@@ -320,7 +330,8 @@
     return it->second.steps[static_cast<std::size_t>(task.step)].needs;
   }
 
-  /// What one owner's process runs on.
+  /// The processor of one owner's process and its connections to the store and
+  /// the workers.
   struct Vm {
     Vm(fakes::VirtualTime& time, store::RowStore& all_rows,
        WorkerPort& all_workers)
@@ -335,7 +346,7 @@
 
   fakes::VirtualTime time_;
   base::MetricRegistry metrics_;
-  base::Duration cost_{0};
+  base::Duration processor_cost_{0};
   fakes::FakeRowStore store_;
   fakes::FakeTaskWorkers workers_;
   std::map<base::JobName, jobs::Job> jobs_;
@@ -347,12 +358,12 @@
   /// Current names of restarted workers, by original name.
   std::map<base::WorkerName, base::WorkerName> current_names_;
   std::map<base::OrganisationName, std::int64_t> guarantees_;
-  std::set<base::DomainName> evacuated_;
-  std::map<std::string, View> views_;
-  /// Outlive the owners on them.
+  std::set<base::DomainName> evacuated_domains_;
+  std::map<std::string, ObservedState> observed_states_;
+  /// Declared before `owners_` because they must outlive the owners.
   std::map<std::string, std::unique_ptr<Vm>> vms_;
   std::map<std::string, std::unique_ptr<ServiceOwner>> owners_;
-  jobs::JobService entry_{store_.For("entry")};
+  jobs::JobService client_{store_.For("entry")};
 };
 
 }  // namespace lapishatch::dispatch
--- a/test/dispatch/task_crash_test.cc
+++ b/test/dispatch/task_crash_test.cc
@@ -319,7 +319,7 @@
 TEST_CASE("a crash counts when the start was carried out late") {
   CrashWorld world(1, 4);
   for (int i = 0; i < 4; ++i) {
-    world.workers().MakeNextStartLate(OwnerWorld::WorkerCalled(i),
+    world.workers().MakeNextStartLate(OwnerWorld::WorkerNameAt(i),
                                       Duration(900));
   }
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
@@ -376,7 +376,7 @@
     world.RunFor(4'000);
     constexpr int kPerDomain = 4;
     for (int i = 0; i < kPerDomain; ++i) {
-      world.workers().Crash(OwnerWorld::WorkerCalled(kPerDomain * domain + i));
+      world.workers().Crash(OwnerWorld::WorkerNameAt(kPerDomain * domain + i));
     }
   }
   world.RunFor(60'000);
@@ -389,7 +389,7 @@
   world.SubmitSound(10);
   for (int i = 0; i < 8; ++i) {
     world.RunFor(700);
-    world.workers().Crash(OwnerWorld::WorkerCalled(i));
+    world.workers().Crash(OwnerWorld::WorkerNameAt(i));
   }
   world.RunFor(30'000);
   world.CheckSound();
--- a/test/dispatch/worker_loss_test.cc
+++ b/test/dispatch/worker_loss_test.cc
@@ -9,7 +9,7 @@
   return {base::JobName(job), 0, 0, index};
 }
 
-TEST_CASE("each task that is lost with its worker is counted by reason") {
+TEST_CASE("a task lost with its worker is counted in the metric by reason") {
   OwnerWorld world(1, 2);
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 8));
