--- a/src/dispatch/bounds.cc
+++ b/src/dispatch/bounds.cc
@@ -87,11 +87,11 @@
 
 TaskPlannerOptions PlannerOptionsFor(const Bounds& bounds) {
   TaskPlannerOptions out;
-  out.preempted_within = bounds.stop_timeout + kEndHeardWithin;
-  out.slow_place_after = bounds.remote_factor - 1;
-  out.guaranteed_slow_after =
+  out.max_preemption_time = bounds.stop_timeout + kEndHeardWithin;
+  out.rack_wait_factor = bounds.remote_factor - 1;
+  out.guaranteed_rack_wait =
       std::max(Duration(0),
-               bounds.guaranteed_start - out.preempted_within - kStartNeeds);
+               bounds.guaranteed_start - out.max_preemption_time - kStartNeeds);
   return out;
 }
 
--- a/src/dispatch/crash_policy.cc
+++ b/src/dispatch/crash_policy.cc
@@ -26,7 +26,7 @@
 }
 
 int SuspicionOf(WorkerLossReason reason, bool is_explained, bool is_alone) {
-  if (reason != WorkerLossReason::kOtherLife || is_explained) return 0;
+  if (reason != WorkerLossReason::kRestarted || is_explained) return 0;
   return is_alone ? 2 : 1;
 }
 
--- a/src/dispatch/dispatch.h
+++ b/src/dispatch/dispatch.h
@@ -7,9 +7,9 @@
 #include "dispatch/bounds.h"
 #include "dispatch/evacuations.h"
 #include "dispatch/fleet.h"
-#include "dispatch/open_workers.h"
 #include "dispatch/owner_lease.h"
 #include "dispatch/placer.h"
+#include "dispatch/schedulable_workers.h"
 #include "dispatch/service_owner.h"
 #include "dispatch/worker_port.h"
 
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -8,7 +8,7 @@
   return std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-jobs::Resources CountedNeeds(const jobs::Step& step) {
+jobs::Resources ResourcesPerTask(const jobs::Step& step) {
   auto out = step.needs;
   if (step.uses_spare_cpu) out.cpu_millis = 0;
   return out;
@@ -32,7 +32,7 @@
     return;
   }
   it->second.is_known = false;
-  it->second.is_open = false;
+  it->second.is_schedulable = false;
 }
 
 FleetWorker* Fleet::Find(const base::WorkerName& name) {
@@ -40,14 +40,14 @@
   return it == workers_.end() ? nullptr : &it->second;
 }
 
-void Fleet::Take(const base::WorkerName& name, const jobs::Resources& room) {
+void Fleet::Allocate(const base::WorkerName& name,
+                     const jobs::Resources& room) {
   auto& worker = workers_[name];
   worker.name = name;
   worker.used += room;
 }
 
-void Fleet::GiveBack(const base::WorkerName& name,
-                     const jobs::Resources& room) {
+void Fleet::Release(const base::WorkerName& name, const jobs::Resources& room) {
   const auto it = workers_.find(name);
   if (it == workers_.end()) return;
   it->second.used -= room;
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -23,11 +23,11 @@
   jobs::Resources used;
   /// Of what runs there beyond that, as the worker says: tasks that have ended
   /// for the owner, or that it does not know.
-  jobs::Resources strays;
+  jobs::Resources stray_usage;
   /// Promised to units that wait for others to be stopped.
   jobs::Resources reserved;
   /// Whether anything new may start there.
-  bool is_open = false;
+  bool is_schedulable = false;
   /// Whether it has lately failed a task and ended none well since: what has
   /// another place, or no failure to spare, does not go there.
   bool is_suspect = false;
@@ -37,7 +37,7 @@
   /// Whether a worker at its address crashed recently: a further crash under a
   /// suspect task could be due to either the task or the machine.
   bool has_recent_crash = false;
-  /// Of its rack among those with open workers; set by OpenWorkers.
+  /// Of its rack among those with open workers; set by SchedulableWorkers.
   std::size_t rack_index = 0;
   /// Whether its size is known; room is counted on others too, since tasks may
   /// be recorded on a worker before it is heard of.
@@ -46,7 +46,7 @@
   jobs::Resources Free() const {
     auto out = capacity;
     out -= used;
-    out -= strays;
+    out -= stray_usage;
     out -= reserved;
     return out;
   }
@@ -58,7 +58,7 @@
 };
 
 /// What a step takes of a worker: one that fills needs no processor of its own.
-jobs::Resources CountedNeeds(const jobs::Step& step);
+jobs::Resources ResourcesPerTask(const jobs::Step& step);
 
 /// The workers of a service and what is taken of each. Pure data: no time, no
 /// I/O.
@@ -81,8 +81,8 @@
   std::map<base::WorkerName, FleetWorker>& workers() { return workers_; }
 
   /// Takes or gives back room, on workers that are not known as well.
-  void Take(const base::WorkerName& name, const jobs::Resources& room);
-  void GiveBack(const base::WorkerName& name, const jobs::Resources& room);
+  void Allocate(const base::WorkerName& name, const jobs::Resources& room);
+  void Release(const base::WorkerName& name, const jobs::Resources& room);
 
   /// Adds `n`, which may be negative, to the number of suspect tasks.
   void AddSuspectTasks(const base::WorkerName& name, int n);
--- a/src/dispatch/internal/job_book.h
+++ b/src/dispatch/internal/job_tracker.h
@@ -1,5 +1,5 @@
-#ifndef LAPISHATCH_DISPATCH_INTERNAL_JOB_BOOK_H_
-#define LAPISHATCH_DISPATCH_INTERNAL_JOB_BOOK_H_
+#ifndef LAPISHATCH_DISPATCH_INTERNAL_JOB_TRACKER_H_
+#define LAPISHATCH_DISPATCH_INTERNAL_JOB_TRACKER_H_
 
 #include <array>
 #include <functional>
@@ -25,9 +25,9 @@
 /// waiting only in `Finish`, when every member of its last run is over, and a
 /// member is over only by OnEnded, OnRefused or OnLost, each of which says why
 /// it can run no more.
-class JobBook {
+class JobTracker {
  public:
-  explicit JobBook(Fleet& fleet) : fleet_(fleet) {}
+  explicit JobTracker(Fleet& fleet) : fleet_(fleet) {}
 
   /// Adds a job as it was accepted, with what an earlier owner recorded of it.
   /// Members of a recorded start are unconfirmed until their workers are heard.
@@ -61,9 +61,9 @@
 
   static jobs::TaskName NameOf(const Unit& unit, std::size_t member);
 
-  /// Begins the next run of a waiting unit on `places`. Nothing may be sent
+  /// Begins the next run of a waiting unit on `workers`. Nothing may be sent
   /// before it is recorded.
-  void Plan(Unit& unit, const std::vector<base::WorkerName>& places,
+  void Plan(Unit& unit, const std::vector<base::WorkerName>& workers,
             base::TimePoint now);
 
   /// The run of a member is over as the worker says. A run that is not the
@@ -73,7 +73,7 @@
 
   /// A run that had been given up as lost turns out to have ended well, on a
   /// worker that was not reached then: what replaced it is stopped.
-  void OnEarlierDone(Unit& unit, int run, base::TimePoint now);
+  void OnEarlierRunDone(Unit& unit, int run, base::TimePoint now);
 
   /// The member has not begun and never will.
   void OnRefused(Unit& unit, int index, base::TimePoint now);
@@ -86,8 +86,8 @@
 
   /// Records that the worker of a member was lost, and adds `suspicion` to the
   /// task. Call before OnLost. Returns the losses of the task.
-  static jobs::TaskLosses CountLoss(Unit& unit, int index, int suspicion,
-                                    base::TimePoint now);
+  static jobs::TaskLosses RecordLoss(Unit& unit, int index, int suspicion,
+                                     base::TimePoint now);
 
   /// Stops the present run of a unit, to be started again later.
   void Stop(Unit& unit);
@@ -95,12 +95,12 @@
   void Cancel(JobEntry& job);
 
   /// Lets the occurrences begin whose time has come.
-  void BeginDue(std::int64_t unix_ms, base::TimePoint now);
+  void ActivateDueOccurrences(std::int64_t unix_ms, base::TimePoint now);
 
   jobs::JobProgress ProgressOf(const JobEntry& job) const;
 
   /// For each queue, jobs none of whose tasks has begun.
-  jobs::WaitingJobCounts CountWaiting() const;
+  jobs::WaitingJobCounts CountWaitingJobs() const;
 
   /// Steps with units that may be started now.
   const std::set<StepRun*>& ready() const { return ready_; }
@@ -113,7 +113,7 @@
 
   /// Tasks whose starts are about to be sent, or were sent by this owner and
   /// have no answer yet.
-  int CountUnderWay() const;
+  int CountPendingStarts() const;
 
   /// Tasks of present runs that are or may be on a worker: the unit, and the
   /// task's index.
@@ -135,7 +135,7 @@
   void DropReservation(Unit& unit);
   /// Drops the reservations of all waiting units that include `worker`.
   void DropReservationsOn(const base::WorkerName& worker);
-  void SetReservation(Unit& unit, std::vector<base::WorkerName> places);
+  void SetReservation(Unit& unit, std::vector<base::WorkerName> workers);
 
  private:
   void MarkDirty(JobEntry& job, base::TimePoint due);
@@ -145,13 +145,14 @@
   void Unblock(JobEntry& job, int occurrence, int done_step,
                base::TimePoint now);
   void UpdateReady(StepRun& run);
-  void ForgetMember(Unit& unit, const base::WorkerName& worker, int index);
-  void MemberOver(Unit& unit, Member& member, base::TimePoint now);
+  void RemoveMemberFromIndex(Unit& unit, const base::WorkerName& worker,
+                             int index);
+  void TerminateMember(Unit& unit, Member& member, base::TimePoint now);
   void Finish(Unit& unit, base::TimePoint now);
   void MarkDone(Unit& unit, base::TimePoint now);
   void Fail(JobEntry& job, JobFailure failure);
   void End(JobEntry& job, jobs::JobState state);
-  void Unindex(JobEntry& job);
+  void RemoveFromIndexes(JobEntry& job);
 
   Fleet& fleet_;
   std::map<base::JobName, std::unique_ptr<JobEntry>> jobs_;
@@ -169,4 +170,4 @@
 
 }  // namespace lapishatch::dispatch::internal
 
-#endif  // LAPISHATCH_DISPATCH_INTERNAL_JOB_BOOK_H_
+#endif  // LAPISHATCH_DISPATCH_INTERNAL_JOB_TRACKER_H_
--- a/src/dispatch/internal/owned_service.h
+++ b/src/dispatch/internal/owned_service.h
@@ -14,13 +14,13 @@
 #include "dispatch/fleet.h"
 #include "dispatch/internal/crash_history.h"
 #include "dispatch/internal/crash_policy.h"
-#include "dispatch/internal/job_book.h"
+#include "dispatch/internal/job_tracker.h"
 #include "dispatch/internal/recorder.h"
 #include "dispatch/internal/service_loader.h"
 #include "dispatch/internal/silent_domains.h"
 #include "dispatch/internal/start_window.h"
 #include "dispatch/internal/task_planner.h"
-#include "dispatch/internal/waiting_counter.h"
+#include "dispatch/internal/waiting_count_writer.h"
 #include "dispatch/internal/worker_drain.h"
 #include "dispatch/internal/worker_health.h"
 #include "dispatch/internal/worker_session.h"
@@ -108,7 +108,7 @@
   void OnEnded(const base::WorkerName& name, const EndedTask& end);
   void ResolveUnlisted(const base::WorkerName& name, const WorkerNews& news,
                        base::TimePoint sent);
-  /// Tasks as pairs of unit and task index; see JobBook::MembersOn.
+  /// Tasks as pairs of unit and task index; see JobTracker::MembersOn.
   using Members = std::vector<std::pair<Unit*, int>>;
   void EndAllOn(const base::WorkerName& name, WorkerLossReason reason);
   void EndLostMembers(const base::WorkerName& name, const Members& members,
@@ -162,13 +162,13 @@
   const base::TimePoint taken_at_;
 
   Fleet fleet_;
-  JobBook book_;
+  JobTracker book_;
   TaskPlanner planner_;
   const SessionOptions session_options_;
   ServiceLoader loader_;
   /// By part; none before the service is loaded.
   std::vector<std::unique_ptr<Recorder>> recorders_;
-  std::optional<WaitingCounter> counter_;
+  std::optional<WaitingCountWriter> counter_;
   std::map<base::WorkerName, Worker> workers_;
   WorkerHealth health_{{}};
   CrashHistory crashes_{{}};
--- a/src/dispatch/internal/reclaim.h
+++ b/src/dispatch/internal/reclaim.h
@@ -7,8 +7,8 @@
 
 #include "base/base.h"
 #include "dispatch/internal/unit.h"
-#include "dispatch/open_workers.h"
 #include "dispatch/placer.h"
+#include "dispatch/schedulable_workers.h"
 
 namespace lapishatch::dispatch::internal {
 
@@ -18,9 +18,9 @@
   double cost = 0;
 };
 
-/// Places for a unit, and what is to be stopped for them.
+/// Placement for a unit, and what is to be stopped for them.
 struct ReclaimPlan {
-  Places places;
+  Placement placement;
   std::vector<Unit*> victims;
   double cost = 0;
 };
@@ -29,24 +29,25 @@
 /// decisions: gathering it anew for each unit and each rack would cost a pass
 /// over all workers and all that runs every time. A unit that is being stopped
 /// costs nothing more.
-class ReclaimBoard {
+class ReclaimCandidates {
  public:
   /// `victims` are sorted by cost. `open` must outlive this.
-  ReclaimBoard(const OpenWorkers& open, const std::vector<Victim>& victims);
+  ReclaimCandidates(const SchedulableWorkers& open,
+                    const std::vector<Victim>& victims);
 
-  /// The cheapest places for one unit of `run` among all workers, or on one
+  /// The cheapest placement for one unit of `run` among all workers, or on one
   /// rack: task by task where the least has to be stopped, the cheapest on a
   /// worker first. Nothing where it does not fit even so. Units of its own job
   /// are never stopped for it. Costs one step a worker and task.
   std::optional<ReclaimPlan> FindAnywhere(const StepRun& run) const;
-  std::optional<ReclaimPlan> FindOn(const StepRun& run,
-                                    const base::RackName& rack) const;
+  std::optional<ReclaimPlan> FindOnRack(const StepRun& run,
+                                        const base::RackName& rack) const;
 
   /// The same on whichever single rack is cheapest.
   std::optional<ReclaimPlan> FindOnOneRack(const StepRun& run) const;
 
   /// The plan's victims are being stopped from now on.
-  void NoteStopped(const ReclaimPlan& plan);
+  void MarkStopped(const ReclaimPlan& plan);
 
  private:
   /// A unit on one worker, with what stopping it frees there.
@@ -60,7 +61,7 @@
 
   const Stops& StopsOn(const base::WorkerName& worker) const;
 
-  const OpenWorkers& open_;
+  const SchedulableWorkers& open_;
   /// The cheapest first.
   std::unordered_map<base::WorkerName, Stops> stops_;
 };
--- a/src/dispatch/internal/recorder.h
+++ b/src/dispatch/internal/recorder.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/base.h"
-#include "dispatch/internal/job_book.h"
+#include "dispatch/internal/job_tracker.h"
 #include "dispatch/worker_port.h"
 #include "store/row_store.h"
 
@@ -32,7 +32,7 @@
   /// `fence` is the version of the part's fence row; `on_lost` is called when
   /// the row shows another owner.
   Recorder(base::EventLoop& loop, store::RowStore& store, std::string part,
-           int index, store::RowVersion fence, JobBook& book,
+           int index, store::RowVersion fence, JobTracker& book,
            RecorderOptions options,
            std::function<void(const std::string&)> on_lost);
   ~Recorder();
--- a/src/dispatch/internal/task_planner.h
+++ b/src/dispatch/internal/task_planner.h
@@ -8,7 +8,7 @@
 
 #include "base/base.h"
 #include "dispatch/fleet.h"
-#include "dispatch/internal/job_book.h"
+#include "dispatch/internal/job_tracker.h"
 #include "dispatch/internal/reclaim.h"
 #include "dispatch/placer.h"
 #include "jobs/queue_table.h"
@@ -20,27 +20,27 @@
   kInTime,
   kLate,
   /// Past its deadline: worth nothing any more.
-  kPast,
+  kExpired,
 };
 
 /// Of places for which victims are being stopped.
 enum class ReservationState : std::uint8_t {
   kFree,
-  kTaken,
+  kOccupied,
   /// A worker of them is gone or closed: other places are to be found.
-  kGone,
+  kInvalid,
 };
 
 struct TaskPlannerOptions {
   /// After so much waiting, as a share of the step's estimate, a place off its
   /// wanted rack will do: waiting longer costs more than the slower place.
-  double slow_place_after = 2.0;
+  double rack_wait_factor = 2.0;
   /// The same for urgent work within its organisation's guarantee, which must
   /// begin in time wherever it is.
-  base::Duration guaranteed_slow_after{900};
+  base::Duration guaranteed_rack_wait{900};
   /// Upper bound on freeing the place of a preempted unit: the worker's stop
   /// and the poll that lists its end.
-  base::Duration preempted_within{1'000};
+  base::Duration max_preemption_time{1'000};
   /// While over half of the accelerators are free, a unit that waits so long
   /// for its rack takes it from what is not urgent there, or is started
   /// elsewhere: small tasks scattered over the workers of every rack would keep
@@ -48,41 +48,41 @@
   base::Duration rack_wait_limit{1'500};
   /// Fraction of the estimated remaining time that must fit before the
   /// deadline; below 1 tolerates overestimates.
-  double sure_share = 0.7;
+  double required_time_share = 0.7;
   /// A job that ends after this many objectives is worth nothing to its caller
   /// and runs when nothing else wants the resources.
-  int past_after = 3;
+  int expiry_factor = 3;
   /// Time constant with which the peak of accelerators in use by urgent work
   /// fades; what is left of the peak is its headroom.
-  base::Duration peak_fades{8'000};
+  base::Duration peak_decay_time{8'000};
   /// Most headroom, as a share of all accelerators.
-  double most_headroom = 0.35;
+  double max_headroom_share = 0.35;
   /// Other work leaves the headroom free while it has so much time to spare.
-  base::Duration headroom_slack{2'000};
+  base::Duration min_slack_for_headroom{2'000};
   /// How long it is remembered that a step would fit on an empty fleet, which
   /// is costly to find out.
-  base::Duration fit_recheck{500};
+  base::Duration fit_cache_time{500};
   /// Most work thrown away for an urgent unit, as a multiple of its own.
-  double most_waste = 3.0;
+  double max_waste_factor = 3.0;
   /// Pause between two searches for units to preempt for the same unit: each
   /// costs a pass over all workers and what runs there.
-  base::Duration reclaim_again{100};
+  base::Duration reclaim_retry_interval{100};
   /// How long a suspect task waits for a worker that has no other suspect task
   /// and no recent crash.
-  base::Duration suspect_wait{2'000};
+  base::Duration max_suspect_wait{2'000};
   /// Share of the starts that only urgent units may use, so that they need not
   /// wait behind others.
-  double urgent_starts = 0.25;
+  double urgent_start_share = 0.25;
 };
 
 /// A victim, and the unit that gets its place.
 struct Preemption {
   Unit* unit = nullptr;
-  const Unit* by = nullptr;
+  const Unit* beneficiary = nullptr;
   /// `by` is within its organisation's guarantee.
   bool is_guaranteed = false;
   /// Work lost since the last checkpoint, in core-seconds.
-  double lost = 0;
+  double lost_core_seconds = 0;
 };
 
 /// What one call of the planner decides.
@@ -90,44 +90,45 @@
   /// Units whose starts are to be recorded and sent.
   std::vector<Unit*> starts;
   /// Units that are now to be stopped.
-  std::vector<Preemption> preempted;
+  std::vector<Preemption> preemptions;
   /// Whether some units were not looked at as enough starts are under way.
-  bool is_limited = false;
+  bool reached_start_limit = false;
 };
 
 /// Decides which units start where and which are stopped for whom. Changes the
-/// book (Plan, Stop, SetReservation) and sends nothing. Deterministic: the same
-/// book, fleet and time give the same decisions.
+/// tracker (Plan, Stop, SetReservation) and sends nothing. Deterministic: the
+/// same tracker, fleet and time give the same decisions.
 class TaskPlanner {
  public:
-  TaskPlanner(JobBook& book, Fleet& fleet, TaskPlannerOptions options)
-      : book_(book), fleet_(fleet), options_(options) {}
+  TaskPlanner(JobTracker& tracker, Fleet& fleet, TaskPlannerOptions options)
+      : tracker_(tracker), fleet_(fleet), options_(options) {}
 
   /// How many accelerators each organisation is guaranteed.
   void SetGuarantees(std::map<base::OrganisationName, std::int64_t> guarantees);
 
-  /// Plans what can start now: units until `most_starts` tasks are reached or
+  /// Plans what can start now: units until `max_starts` tasks are reached or
   /// just passed, since a gang starts whole.
   PlannerDecisions Decide(base::TimePoint now,
-                          int most_starts = std::numeric_limits<int>::max());
+                          int max_starts = std::numeric_limits<int>::max());
 
  private:
   void StartReserved(base::TimePoint now, PlannerDecisions& out);
   ReservationState StateOf(const std::vector<base::WorkerName>& places,
                            const jobs::Resources& needs);
   void StartReady(StepRun& run, base::TimePoint now, PlannerDecisions& out);
-  std::optional<Places> FindSoundPlaces(const Unit& unit, PlaceRequest request,
-                                        bool is_starved);
-  bool FitsOffRack(const Unit& unit, PlaceRequest request, bool is_starved);
+  std::optional<Placement> FindPreferredPlacement(const Unit& unit,
+                                                  PlacementRequest request,
+                                                  bool is_starved);
+  bool FitsOffRack(const Unit& unit, PlacementRequest request, bool is_starved);
   bool TryReclaim(Unit& unit, bool is_guaranteed, base::TimePoint now,
                   PlannerDecisions& out);
   bool CouldFit(StepRun& run, base::TimePoint now) const;
   bool IsGuaranteed(const JobEntry& job) const;
   std::map<base::OrganisationName, std::int64_t> UrgentNeeds() const;
   std::vector<Victim> Victims(bool is_guaranteed, base::TimePoint now) const;
-  ReclaimBoard& Board(bool is_guaranteed, base::TimePoint now);
-  bool ThrowsAwayTooMuch(const ReclaimPlan& plan, const Unit& unit,
-                         bool is_guaranteed, base::TimePoint now) const;
+  ReclaimCandidates& Board(bool is_guaranteed, base::TimePoint now);
+  bool WastesTooMuch(const ReclaimPlan& plan, const Unit& unit,
+                     bool is_guaranteed, base::TimePoint now) const;
   std::vector<StepRun*> ReadyInOrder(base::TimePoint now) const;
   void UpdateHeadroom(base::TimePoint now);
   void CountStart(const Unit& unit, bool was_free);
@@ -136,7 +137,7 @@
   DeadlineStatus DeadlineStatusOf(const StepRun& run,
                                   base::TimePoint now) const;
 
-  JobBook& book_;
+  JobTracker& tracker_;
   Fleet& fleet_;
   const TaskPlannerOptions options_;
   std::map<base::OrganisationName, std::int64_t> guarantees_;
@@ -149,12 +150,12 @@
   bool is_half_free_ = false;
   int starts_left_ = 0;
   int quiet_starts_left_ = 0;
-  std::optional<OpenWorkers> open_;
+  std::optional<SchedulableWorkers> workers_;
   /// What may be stopped for units that are guaranteed their place, and for
   /// others.
   struct Boards {
-    std::optional<ReclaimBoard> guaranteed;
-    std::optional<ReclaimBoard> not_guaranteed;
+    std::optional<ReclaimCandidates> guaranteed;
+    std::optional<ReclaimCandidates> not_guaranteed;
 
     void Clear() {
       guaranteed.reset();
--- a/src/dispatch/internal/unit.h
+++ b/src/dispatch/internal/unit.h
@@ -34,15 +34,15 @@
   /// The worker has said that it runs.
   kRunning,
   /// It runs no more and never will.
-  kOver,
+  kTerminated,
 };
 
 /// Why an owner treats a worker and its tasks as lost.
 enum class WorkerLossReason : std::uint8_t {
   /// Another life answers at the worker's address.
-  kOtherLife,
+  kRestarted,
   /// The worker's lease has expired without an answer.
-  kLapsed,
+  kLeaseExpired,
   /// A former owner recorded a start on the worker, which never registered with
   /// this owner.
   kUnregistered,
@@ -53,21 +53,21 @@
   base::WorkerName worker;
   MemberState state = MemberState::kPlanned;
   /// Of the worker's clock: a start that comes after it is refused.
-  WorkerClock expires = 0;
-  /// When the worker last confirmed it, or a stop of it.
-  base::TimePoint confirmed{};
+  WorkerClock start_expires_at = 0;
+  /// When the worker last confirmed_at it, or a stop of it.
+  base::TimePoint confirmed_at{};
   bool is_stop_confirmed = false;
   /// How far it was when it was last seen to get on, and when that was.
   int percent = 0;
-  base::TimePoint last_progress{};
+  base::TimePoint last_progress_at{};
   /// The same of when it was seen first; a resumed run begins above 0.
   int first_percent = 0;
-  base::TimePoint first_seen{};
+  base::TimePoint first_seen_at{};
   /// When this owner sent its last start; the epoch for never.
-  base::TimePoint sent{};
+  base::TimePoint start_sent_at{};
   /// Starts sent without an answer.
-  int unanswered = 0;
-  bool is_stop_under_way = false;
+  int unanswered_starts = 0;
+  bool is_stop_in_flight = false;
   /// Whether the task was suspected of crashing workers when this run was
   /// planned.
   bool is_suspect = false;
@@ -76,7 +76,7 @@
 /// Tasks that start together and are one to whoever counts attempts: a whole
 /// gang, or a single task.
 struct Unit {
-  StepRun* step = nullptr;
+  StepRun* step_run = nullptr;
   int first_index = 0;
   jobs::UnitPhase phase = jobs::UnitPhase::kWaiting;
   int failures = 0;
@@ -85,23 +85,23 @@
   int last_run = 0;
   std::string checkpoint;
   /// When the present run was last seen with a new checkpoint.
-  base::TimePoint checkpointed{};
+  base::TimePoint checkpointed_at{};
   /// Of the present run, one a task; empty when nothing may run.
   std::vector<Member> members;
   /// The present run is being stopped.
   bool is_stopping = false;
   /// Where its last failed run failed: better places are looked for first.
-  std::set<base::WorkerName> failed_on;
+  std::set<base::WorkerName> failed_workers;
   /// Losses of each task that lost a worker.
   std::vector<jobs::TaskLosses> losses;
-  /// Places that others are being stopped for; empty for none.
+  /// Placement that others are being stopped for; empty for none.
   std::vector<base::WorkerName> reserved;
   base::TimePoint waiting_since{};
-  base::TimePoint started{};
+  base::TimePoint started_at{};
   /// When nothing was found that could be stopped for it.
   base::TimePoint reclaim_failed_at{};
 
-  bool MayRun() const { return !members.empty(); }
+  bool IsActive() const { return !members.empty(); }
 };
 
 /// One step of one occurrence.
@@ -115,18 +115,18 @@
   int units_done = 0;
   /// The longest chain of estimates from this step's beginning to the end of
   /// the occurrence.
-  base::Duration tail{0};
+  base::Duration critical_path{0};
   /// Steps before it that are not done yet.
-  int blocked_by = 0;
+  int pending_dependencies = 0;
   /// Milliseconds since 1970 before which it may not begin; 0 for at once.
   std::int64_t due_ms = 0;
   bool is_due = true;
   /// Tasks of the step that are or may be on each worker.
-  std::map<base::WorkerName, int> on_worker;
+  std::map<base::WorkerName, int> tasks_by_worker;
   base::TimePoint ready_since{};
   /// Whether a unit would fit where it wants to be if nothing else ran, and
   /// when that was looked at; see TaskPlanner.
-  bool could_fit = false;
+  bool fits_when_empty = false;
   base::TimePoint fit_checked_at{};
 
   bool IsDone() const { return units_done == static_cast<int>(units.size()); }
@@ -146,20 +146,20 @@
 struct JobEntry {
   std::shared_ptr<const jobs::Job> job;
   /// Index of the part with its rows.
-  int part = 0;
+  int partition = 0;
   jobs::JobState state = jobs::JobState::kQueued;
   /// Set only if the job failed under this owner.
   JobFailure failure = JobFailure::kNone;
   /// By occurrence, then step. Empty once the job has ended and nothing of it
   /// may run.
   std::vector<std::deque<StepRun>> runs;
-  bool is_cancel_asked = false;
-  base::TimePoint known_since{};
+  bool is_cancel_requested = false;
+  base::TimePoint added_at{};
   /// When it was accepted, by this process's clock.
-  base::TimePoint accepted{};
+  base::TimePoint accepted_at{};
   /// From its acceptance (an occurrence: its time) to its end, so that it is in
   /// time.
-  base::Duration objective{0};
+  base::Duration latency_objective{0};
   /// Of the progress row; kAbsent before the first.
   std::uint64_t row_version = 0;
 };
--- a/src/dispatch/internal/worker_health.h
+++ b/src/dispatch/internal/worker_health.h
@@ -14,14 +14,14 @@
   /// Failures in a row, with no task ending well in between, that put a worker
   /// out. Tasks fail by their own fault now and then, so that fewer in a row
   /// may well be chance.
-  int failures = 3;
+  int min_failures = 3;
   /// Of so many jobs at least: a job that can never be done fails anywhere.
-  std::size_t jobs = 2;
+  std::size_t min_jobs = 2;
   /// For so long after a failure, unless a task ends well there in between, a
   /// worker is suspect. A worker that fails all it starts does so for seconds
   /// and at once, so one failure is enough to send elsewhere what has other
   /// places: otherwise both attempts of a job fall on such workers.
-  base::Duration suspect_for{8'000};
+  base::Duration suspect_duration{8'000};
   /// A worker that failed several jobs in a row gets work on trial after a
   /// pause that grows.
   placement::WorkerQuarantine::Options quarantine{0.2, base::Duration(4'000),
@@ -46,17 +46,17 @@
 
   /// Puts a worker out for another reason. False when it is out, or too many
   /// are.
-  bool PutOut(const base::WorkerName& worker, std::size_t fleet_size,
-              base::TimePoint now) {
+  bool Quarantine(const base::WorkerName& worker, std::size_t fleet_size,
+                  base::TimePoint now) {
     return quarantine_.Add(worker, fleet_size, now);
   }
 
   /// Lets in again whose time is over.
-  void Release(base::TimePoint now) { quarantine_.ReleaseExpired(now); }
+  void ReleaseExpired(base::TimePoint now) { quarantine_.ReleaseExpired(now); }
 
-  void Forget(const base::WorkerName& worker);
+  void Remove(const base::WorkerName& worker);
 
-  bool IsOut(const base::WorkerName& worker) const {
+  bool IsQuarantined(const base::WorkerName& worker) const {
     return quarantine_.Contains(worker);
   }
 
--- a/src/dispatch/job_book.cc
+++ b/src/dispatch/job_tracker.cc
@@ -1,4 +1,4 @@
-#include "dispatch/internal/job_book.h"
+#include "dispatch/internal/job_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,12 +10,13 @@
 
 /// Fills in the tails of an occurrence's steps, the last first: a step comes
 /// only after earlier ones.
-void SetTails(std::deque<StepRun>& runs) {
+void SetCriticalPaths(std::deque<StepRun>& runs) {
   for (auto it = runs.rbegin(); it != runs.rend(); ++it) {
-    it->tail += it->step->run_time_estimate;
+    it->critical_path += it->step->run_time_estimate;
     for (const int before : it->step->depends_on) {
-      auto& tail = runs[static_cast<std::size_t>(before)].tail;
-      tail = std::max(tail, it->tail);
+      auto& critical_path =
+          runs[static_cast<std::size_t>(before)].critical_path;
+      critical_path = std::max(critical_path, it->critical_path);
     }
   }
 }
@@ -47,16 +48,17 @@
 using jobs::UnitPhase;
 using jobs::UnitRecord;
 
-JobEntry* JobBook::Add(std::shared_ptr<const jobs::Job> job,
-                       const JobProgress* progress, std::uint64_t row_version,
-                       base::Duration age, base::TimePoint now) {
+JobEntry* JobTracker::Add(std::shared_ptr<const jobs::Job> job,
+                          const JobProgress* progress,
+                          std::uint64_t row_version, base::Duration age,
+                          base::TimePoint now) {
   auto& entry = jobs_[job->name];
   if (entry) return entry.get();
   entry = std::make_unique<JobEntry>();
   entry->job = std::move(job);
-  entry->part = jobs::ProgressPartitionIndex(entry->job->name);
-  entry->known_since = now;
-  entry->accepted = now - age;
+  entry->partition = jobs::ProgressPartitionIndex(entry->job->name);
+  entry->added_at = now;
+  entry->accepted_at = now - age;
   entry->row_version = row_version;
   const bool has_ended = progress != nullptr && IsFinal(progress->state);
   // A job that has ended may still have members somewhere, so its units are
@@ -68,16 +70,16 @@
     return entry.get();
   }
   End(*entry, progress->state);
-  dirty(entry->part).erase(entry.get());
+  dirty(entry->partition).erase(entry.get());
   return entry.get();
 }
 
-void JobBook::MarkDirty(JobEntry& job, base::TimePoint due) {
-  const auto [it, is_new] = dirty(job.part).try_emplace(&job, due);
+void JobTracker::MarkDirty(JobEntry& job, base::TimePoint due) {
+  const auto [it, is_new] = dirty(job.partition).try_emplace(&job, due);
   if (!is_new) it->second = std::min(it->second, due);
 }
 
-void JobBook::BuildRuns(JobEntry& job, base::TimePoint now) {
+void JobTracker::BuildRuns(JobEntry& job, base::TimePoint now) {
   const auto& steps = job.job->steps;
   const int occurrences = jobs::OccurrenceCount(*job.job);
   job.runs.resize(static_cast<std::size_t>(occurrences));
@@ -89,15 +91,15 @@
       run.occurrence = k;
       run.number = static_cast<int>(i);
       run.step = &steps[i];
-      run.blocked_by = static_cast<int>(steps[i].depends_on.size());
+      run.pending_dependencies = static_cast<int>(steps[i].depends_on.size());
       run.ready_since = now;
       const int units = steps[i].is_gang ? 1 : steps[i].tasks;
       for (int n = 0; n < units; ++n) {
         auto& unit = run.units.emplace_back();
-        unit.step = &run;
+        unit.step_run = &run;
         unit.first_index = n;
         // Of a new owner too: what waited under the last one has waited.
-        unit.waiting_since = job.accepted;
+        unit.waiting_since = job.accepted_at;
       }
       if (job.job->schedule.repeat_count > 0) {
         run.due_ms =
@@ -107,25 +109,26 @@
       }
       UpdateReady(run);
     }
-    SetTails(runs);
+    SetCriticalPaths(runs);
   }
   auto chain = base::Duration(0);
-  for (const auto& it : job.runs.front()) chain = std::max(chain, it.tail);
-  job.objective =
+  for (const auto& it : job.runs.front())
+    chain = std::max(chain, it.critical_path);
+  job.latency_objective =
       job.job->target_latency +
       base::Duration(static_cast<std::int64_t>(
           job.job->slack_factor * static_cast<double>(chain.count())));
 }
 
-void JobBook::OnCheckpoint(Unit& unit, const std::string& checkpoint,
-                           base::TimePoint now) {
+void JobTracker::OnCheckpoint(Unit& unit, const std::string& checkpoint,
+                              base::TimePoint now) {
   if (checkpoint.empty() || checkpoint == unit.checkpoint) return;
   unit.checkpoint = checkpoint;
-  unit.checkpointed = now;
+  unit.checkpointed_at = now;
 }
 
-void JobBook::Restore(JobEntry& job, const JobProgress& progress,
-                      base::TimePoint now) {
+void JobTracker::Restore(JobEntry& job, const JobProgress& progress,
+                         base::TimePoint now) {
   job.state = IsFinal(progress.state) ? JobState::kRunning : progress.state;
   for (const auto& record : progress.units) {
     auto* unit =
@@ -142,24 +145,24 @@
     Plan(*unit, record.workers, now);
     for (auto& member : unit->members) member.state = MemberState::kUnconfirmed;
   }
-  dirty(job.part).erase(&job);
+  dirty(job.partition).erase(&job);
 }
 
-void JobBook::Remove(const base::JobName& name) {
+void JobTracker::Remove(const base::JobName& name) {
   const auto it = jobs_.find(name);
   if (it == jobs_.end()) return;
-  Unindex(*it->second);
+  RemoveFromIndexes(*it->second);
   unfinished_.erase(it->second.get());
-  dirty(it->second->part).erase(it->second.get());
+  dirty(it->second->partition).erase(it->second.get());
   jobs_.erase(it);
 }
 
-JobEntry* JobBook::Find(const base::JobName& name) {
+JobEntry* JobTracker::Find(const base::JobName& name) {
   const auto it = jobs_.find(name);
   return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-Unit* JobBook::FindUnit(const jobs::TaskName& task) {
+Unit* JobTracker::FindUnit(const jobs::TaskName& task) {
   auto* job = Find(task.job);
   if (job == nullptr || task.occurrence < 0 || task.step < 0) return nullptr;
   if (static_cast<std::size_t>(task.occurrence) >= job->runs.size()) {
@@ -173,30 +176,30 @@
   return &run.units[static_cast<std::size_t>(unit)];
 }
 
-jobs::TaskName JobBook::NameOf(const Unit& unit, std::size_t member) {
-  return {unit.step->job->job->name, unit.step->occurrence, unit.step->number,
-          unit.first_index + static_cast<int>(member)};
+jobs::TaskName JobTracker::NameOf(const Unit& unit, std::size_t member) {
+  return {unit.step_run->job->job->name, unit.step_run->occurrence,
+          unit.step_run->number, unit.first_index + static_cast<int>(member)};
 }
 
-void JobBook::Plan(Unit& unit, const std::vector<base::WorkerName>& places,
-                   base::TimePoint now) {
+void JobTracker::Plan(Unit& unit, const std::vector<base::WorkerName>& workers,
+                      base::TimePoint now) {
   DropReservation(unit);
-  auto& run = *unit.step;
-  const auto needs = CountedNeeds(*run.step);
+  auto& run = *unit.step_run;
+  const auto needs = ResourcesPerTask(*run.step);
   unit.phase = UnitPhase::kStarted;
   ++unit.last_run;
   unit.is_stopping = false;
-  unit.started = now;
-  unit.checkpointed = now;
+  unit.started_at = now;
+  unit.checkpointed_at = now;
   unit.members.clear();
-  for (const auto& it : places) {
+  for (const auto& it : workers) {
     const auto position = static_cast<int>(unit.members.size());
     auto& member = unit.members.emplace_back();
     member.worker = it;
     member.is_suspect = LossesOf(unit.losses, position).suspicion > 0;
-    fleet_.Take(it, needs);
+    fleet_.Allocate(it, needs);
     if (member.is_suspect) fleet_.AddSuspectTasks(it, 1);
-    ++run.on_worker[it];
+    ++run.tasks_by_worker[it];
     members_on_[it].emplace(&unit, unit.first_index + position);
   }
   active_.insert(&unit);
@@ -206,12 +209,12 @@
   UpdateReady(run);
 }
 
-void JobBook::OnEnded(Unit& unit, int index, EndKind kind,
-                      const std::string& checkpoint, base::TimePoint now) {
+void JobTracker::OnEnded(Unit& unit, int index, EndKind kind,
+                         const std::string& checkpoint, base::TimePoint now) {
   auto& member = MemberOf(unit, index);
-  if (member.state == MemberState::kOver) return;
+  if (member.state == MemberState::kTerminated) return;
   OnCheckpoint(unit, checkpoint, now);
-  const bool is_service = unit.step->step->is_service;
+  const bool is_service = unit.step_run->step->is_service;
   if (kind == EndKind::kDone && !is_service) MarkDone(unit, now);
   if (kind != EndKind::kDone) {
     CountUnsuccessfulRun(unit, index - unit.first_index);
@@ -219,34 +222,34 @@
   const bool counts = unit.failed_run < unit.last_run && !is_service;
   if (kind == EndKind::kFailed && counts) {
     unit.failed_run = unit.last_run;
-    unit.failed_on = {member.worker};
+    unit.failed_workers = {member.worker};
     ++unit.failures;
-    MarkDirty(*unit.step->job, now + kGatherEnds);
+    MarkDirty(*unit.step_run->job, now + kGatherEnds);
   }
-  MemberOver(unit, member, now);
+  TerminateMember(unit, member, now);
 }
 
-void JobBook::OnEarlierDone(Unit& unit, int run, base::TimePoint now) {
+void JobTracker::OnEarlierRunDone(Unit& unit, int run, base::TimePoint now) {
   const bool is_over = unit.phase == UnitPhase::kDone ||
-                       unit.step->step->is_service ||
-                       IsFinal(unit.step->job->state);
+                       unit.step_run->step->is_service ||
+                       IsFinal(unit.step_run->job->state);
   if (is_over || run > unit.last_run) return;
   DropReservation(unit);
   MarkDone(unit, now);
   Stop(unit);
 }
 
-void JobBook::OnRefused(Unit& unit, int index, base::TimePoint now) {
+void JobTracker::OnRefused(Unit& unit, int index, base::TimePoint now) {
   OnLost(unit, index, now);
 }
 
-void JobBook::OnVanished(Unit& unit, int index, base::TimePoint now) {
+void JobTracker::OnVanished(Unit& unit, int index, base::TimePoint now) {
   CountUnsuccessfulRun(unit, index - unit.first_index);
   OnLost(unit, index, now);
 }
 
-jobs::TaskLosses JobBook::CountLoss(Unit& unit, int index, int suspicion,
-                                    base::TimePoint now) {
+jobs::TaskLosses JobTracker::RecordLoss(Unit& unit, int index, int suspicion,
+                                        base::TimePoint now) {
   const int position = index - unit.first_index;
   const auto& member = MemberOf(unit, index);
   // The start was not sent, so the task cannot have crashed the worker.
@@ -254,8 +257,9 @@
     return LossesOf(unit.losses, position);
   }
   const bool resets_losses =
-      unit.step->step->is_service && member.first_seen != base::TimePoint{} &&
-      now - member.first_seen >= kCrashPolicy.loss_reset_run_time;
+      unit.step_run->step->is_service &&
+      member.first_seen_at != base::TimePoint{} &&
+      now - member.first_seen_at >= kCrashPolicy.loss_reset_run_time;
   if (resets_losses) {
     std::erase_if(unit.losses,
                   [position](const auto& it) { return it.member == position; });
@@ -264,60 +268,63 @@
   return LossesOf(unit.losses, position);
 }
 
-void JobBook::OnLost(Unit& unit, int index, base::TimePoint now) {
+void JobTracker::OnLost(Unit& unit, int index, base::TimePoint now) {
   auto& member = MemberOf(unit, index);
-  if (member.state == MemberState::kOver) return;
-  MemberOver(unit, member, now);
+  if (member.state == MemberState::kTerminated) return;
+  TerminateMember(unit, member, now);
 }
 
-int JobBook::CountUnderWay() const {
+int JobTracker::CountPendingStarts() const {
   int out = 0;
   for (const auto* unit : active_) {
     if (unit->is_stopping) continue;
     for (const auto& it : unit->members) {
-      const bool is_sent =
-          it.state == MemberState::kUnconfirmed && it.sent != base::TimePoint{};
+      const bool is_sent = it.state == MemberState::kUnconfirmed &&
+                           it.start_sent_at != base::TimePoint{};
       if (it.state == MemberState::kPlanned || is_sent) ++out;
     }
   }
   return out;
 }
 
-std::vector<std::pair<Unit*, int>> JobBook::MembersOn(
+std::vector<std::pair<Unit*, int>> JobTracker::MembersOn(
     const base::WorkerName& worker) const {
   const auto it = members_on_.find(worker);
   if (it == members_on_.end()) return {};
   return {it->second.begin(), it->second.end()};
 }
 
-void JobBook::ForgetMember(Unit& unit, const base::WorkerName& worker,
-                           int index) {
+void JobTracker::RemoveMemberFromIndex(Unit& unit,
+                                       const base::WorkerName& worker,
+                                       int index) {
   const auto it = members_on_.find(worker);
   if (it == members_on_.end()) return;
   it->second.erase({&unit, index});
   if (it->second.empty()) members_on_.erase(it);
 }
 
-void JobBook::MemberOver(Unit& unit, Member& member, base::TimePoint now) {
-  auto& run = *unit.step;
-  member.state = MemberState::kOver;
+void JobTracker::TerminateMember(Unit& unit, Member& member,
+                                 base::TimePoint now) {
+  auto& run = *unit.step_run;
+  member.state = MemberState::kTerminated;
   const auto index =
       unit.first_index + static_cast<int>(&member - unit.members.data());
-  ForgetMember(unit, member.worker, index);
+  RemoveMemberFromIndex(unit, member.worker, index);
   if (member.is_suspect) fleet_.AddSuspectTasks(member.worker, -1);
-  fleet_.GiveBack(member.worker, CountedNeeds(*run.step));
-  const auto it = run.on_worker.find(member.worker);
-  if (it != run.on_worker.end() && --it->second == 0) run.on_worker.erase(it);
+  fleet_.Release(member.worker, ResourcesPerTask(*run.step));
+  const auto it = run.tasks_by_worker.find(member.worker);
+  if (it != run.tasks_by_worker.end() && --it->second == 0)
+    run.tasks_by_worker.erase(it);
   const bool is_last = std::all_of(
       unit.members.begin(), unit.members.end(),
-      [](const Member& m) { return m.state == MemberState::kOver; });
+      [](const Member& m) { return m.state == MemberState::kTerminated; });
   if (is_last) return Finish(unit, now);
   // The rest of a gang is of no use without this one, unless the gang is done.
   if (unit.phase != UnitPhase::kDone) Stop(unit);
 }
 
-void JobBook::Finish(Unit& unit, base::TimePoint now) {
-  auto& job = *unit.step->job;
+void JobTracker::Finish(Unit& unit, base::TimePoint now) {
+  auto& job = *unit.step_run->job;
   unit.members.clear();
   unit.is_stopping = false;
   active_.erase(&unit);
@@ -332,22 +339,22 @@
       Fail(job, JobFailure::kWorkerLosses);
     }
   }
-  UpdateReady(*unit.step);
+  UpdateReady(*unit.step_run);
 }
 
-void JobBook::Fail(JobEntry& job, JobFailure failure) {
+void JobTracker::Fail(JobEntry& job, JobFailure failure) {
   if (IsFinal(job.state)) return;
   job.failure = failure;
   End(job, JobState::kFailed);
 }
 
-void JobBook::MarkDone(Unit& unit, base::TimePoint now) {
+void JobTracker::MarkDone(Unit& unit, base::TimePoint now) {
   if (unit.phase == UnitPhase::kDone) return;
   unit.phase = UnitPhase::kDone;
   // A done gang's other tasks end by themselves.
   to_stop_.erase(&unit);
   unit.is_stopping = false;
-  auto& run = *unit.step;
+  auto& run = *unit.step_run;
   auto& job = *run.job;
   ++run.units_done;
   MarkDirty(job, now + kGatherEnds);
@@ -362,23 +369,23 @@
   if (!IsFinal(job.state)) End(job, JobState::kCompleted);
 }
 
-void JobBook::Unblock(JobEntry& job, int occurrence, int done_step,
-                      base::TimePoint now) {
+void JobTracker::Unblock(JobEntry& job, int occurrence, int done_step,
+                         base::TimePoint now) {
   for (auto& it : job.runs[static_cast<std::size_t>(occurrence)]) {
     const auto& after = it.step->depends_on;
     const auto n = std::count(after.begin(), after.end(), done_step);
     if (n == 0) continue;
-    it.blocked_by -= static_cast<int>(n);
+    it.pending_dependencies -= static_cast<int>(n);
     it.ready_since = now;
     for (auto& unit : it.units) unit.waiting_since = now;
     UpdateReady(it);
   }
 }
 
-void JobBook::UpdateReady(StepRun& run) {
+void JobTracker::UpdateReady(StepRun& run) {
   const bool may_start =
-      run.blocked_by == 0 && run.is_due && !IsFinal(run.job->state) &&
-      !run.job->is_cancel_asked &&
+      run.pending_dependencies == 0 && run.is_due && !IsFinal(run.job->state) &&
+      !run.job->is_cancel_requested &&
       std::any_of(run.units.begin(), run.units.end(), [](const Unit& it) {
         return it.phase == UnitPhase::kWaiting;
       });
@@ -389,7 +396,8 @@
   }
 }
 
-void JobBook::BeginDue(std::int64_t unix_ms, base::TimePoint now) {
+void JobTracker::ActivateDueOccurrences(std::int64_t unix_ms,
+                                        base::TimePoint now) {
   while (!not_due_.empty() && not_due_.begin()->first <= unix_ms) {
     auto& run = *not_due_.begin()->second;
     not_due_.erase(not_due_.begin());
@@ -400,20 +408,20 @@
   }
 }
 
-void JobBook::Stop(Unit& unit) {
+void JobTracker::Stop(Unit& unit) {
   if (unit.members.empty()) return;
   unit.is_stopping = true;
   to_stop_.insert(&unit);
 }
 
-void JobBook::Cancel(JobEntry& job) {
-  if (job.is_cancel_asked || IsFinal(job.state)) return;
-  job.is_cancel_asked = true;
+void JobTracker::Cancel(JobEntry& job) {
+  if (job.is_cancel_requested || IsFinal(job.state)) return;
+  job.is_cancel_requested = true;
   End(job, JobState::kCancelled);
 }
 
 /// Nothing of the job starts any more and what runs is stopped.
-void JobBook::End(JobEntry& job, JobState state) {
+void JobTracker::End(JobEntry& job, JobState state) {
   job.state = state;
   unfinished_.erase(&job);
   ended_.push_back(job.job->name);
@@ -430,7 +438,7 @@
   }
 }
 
-void JobBook::Unindex(JobEntry& job) {
+void JobTracker::RemoveFromIndexes(JobEntry& job) {
   for (auto& runs : job.runs) {
     for (auto& run : runs) {
       ready_.erase(&run);
@@ -441,15 +449,15 @@
         to_stop_.erase(&unit);
         active_.erase(&unit);
         for (std::size_t i = 0; i < unit.members.size(); ++i) {
-          ForgetMember(unit, unit.members[i].worker,
-                       unit.first_index + static_cast<int>(i));
+          RemoveMemberFromIndex(unit, unit.members[i].worker,
+                                unit.first_index + static_cast<int>(i));
         }
       }
     }
   }
 }
 
-JobProgress JobBook::ProgressOf(const JobEntry& job) const {
+JobProgress JobTracker::ProgressOf(const JobEntry& job) const {
   JobProgress out;
   out.state = job.state;
   for (const auto& runs : job.runs) {
@@ -480,7 +488,7 @@
   return out;
 }
 
-jobs::WaitingJobCounts JobBook::CountWaiting() const {
+jobs::WaitingJobCounts JobTracker::CountWaitingJobs() const {
   jobs::WaitingJobCounts out;
   for (const auto& [name, it] : jobs_) {
     if (it->state == JobState::kQueued) ++out[it->job->queue];
@@ -488,15 +496,15 @@
   return out;
 }
 
-void JobBook::DropReservation(Unit& unit) {
-  const auto needs = CountedNeeds(*unit.step->step);
+void JobTracker::DropReservation(Unit& unit) {
+  const auto needs = ResourcesPerTask(*unit.step_run->step);
   for (const auto& it : unit.reserved) {
     if (auto* worker = fleet_.Find(it)) worker->reserved -= needs;
   }
   unit.reserved.clear();
 }
 
-void JobBook::DropReservationsOn(const base::WorkerName& worker) {
+void JobTracker::DropReservationsOn(const base::WorkerName& worker) {
   for (auto* run : ready_) {
     for (auto& unit : run->units) {
       const auto it =
@@ -506,13 +514,14 @@
   }
 }
 
-void JobBook::SetReservation(Unit& unit, std::vector<base::WorkerName> places) {
+void JobTracker::SetReservation(Unit& unit,
+                                std::vector<base::WorkerName> workers) {
   DropReservation(unit);
-  const auto needs = CountedNeeds(*unit.step->step);
-  for (const auto& it : places) {
+  const auto needs = ResourcesPerTask(*unit.step_run->step);
+  for (const auto& it : workers) {
     if (auto* worker = fleet_.Find(it)) worker->reserved += needs;
   }
-  unit.reserved = std::move(places);
+  unit.reserved = std::move(workers);
 }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/owned_losses.cc
+++ b/src/dispatch/owned_losses.cc
@@ -22,12 +22,12 @@
                                   std::ptrdiff_t others,
                                   WorkerLossReason reason,
                                   const jobs::TaskLosses& losses) {
-  const auto& member = JobBook::MemberOf(unit, index);
-  const auto task =
-      JobBook::NameOf(unit, static_cast<std::size_t>(index - unit.first_index));
-  const auto run_time = member.confirmed == TimePoint{}
+  const auto& member = JobTracker::MemberOf(unit, index);
+  const auto task = JobTracker::NameOf(
+      unit, static_cast<std::size_t>(index - unit.first_index));
+  const auto run_time = member.confirmed_at == TimePoint{}
                             ? base::Duration(0)
-                            : ports_.loop.Now() - member.confirmed;
+                            : ports_.loop.Now() - member.confirmed_at;
   base::Log(base::events::kTaskLost, {{"request", task.job},
                                       {"task", TextOf(task)},
                                       {"run", unit.last_run},
@@ -48,7 +48,7 @@
   const auto members = book_.MembersOn(name);
   return std::any_of(members.begin(), members.end(), [](const auto& it) {
     const auto& [unit, index] = it;
-    const auto& member = JobBook::MemberOf(*unit, index);
+    const auto& member = JobTracker::MemberOf(*unit, index);
     return member.is_suspect && member.state == MemberState::kRunning;
   });
 }
@@ -57,7 +57,7 @@
     const base::WorkerName& name) const {
   std::vector<jobs::TaskName> out;
   for (const auto& [unit, index] : book_.MembersOn(name)) {
-    out.push_back(JobBook::NameOf(
+    out.push_back(JobTracker::NameOf(
         *unit, static_cast<std::size_t>(index - unit->first_index)));
   }
   return out;
@@ -115,16 +115,16 @@
     const auto others = std::count_if(
         members.begin(), members.end(),
         [lost = unit](const auto& it) { return it.first != lost; });
-    const auto task = JobBook::NameOf(
+    const auto task = JobTracker::NameOf(
         *unit, static_cast<std::size_t>(index - unit->first_index));
     const bool was_running =
-        JobBook::MemberOf(*unit, index).confirmed != TimePoint{};
+        JobTracker::MemberOf(*unit, index).confirmed_at != TimePoint{};
     const bool is_explained =
         !was_running || HasCommonCause(down, rack, task, {});
     const int suspicion = SuspicionOf(reason, is_explained, others == 0);
-    const auto losses = counts
-                            ? JobBook::CountLoss(*unit, index, suspicion, now)
-                            : LossesOf(unit->losses, index - unit->first_index);
+    const auto losses =
+        counts ? JobTracker::RecordLoss(*unit, index, suspicion, now)
+               : LossesOf(unit->losses, index - unit->first_index);
     ReportLostTask(*unit, index, others, reason, losses);
   }
   for (const auto& [unit, index] : members) book_.OnLost(*unit, index, now);
@@ -137,7 +137,7 @@
                                         {"worker", name},
                                         {"tasks", members.size()},
                                         {"reason", base::NameOf(reason)}});
-  if (reason == WorkerLossReason::kOtherLife) RecordCrash(name);
+  if (reason == WorkerLossReason::kRestarted) RecordCrash(name);
   EndLostMembers(name, members, reason);
   Pump();
 }
--- a/src/dispatch/owned_orders.cc
+++ b/src/dispatch/owned_orders.cc
@@ -10,15 +10,15 @@
 namespace {
 
 void LogPreemption(const Preemption& it) {
-  const auto& job = *it.unit->step->job;
+  const auto& job = *it.unit->step_run->job;
   base::Log(base::events::kUnitPreempted,
             {{"request", job.job->name},
-             {"task", TextOf(JobBook::NameOf(*it.unit, 0))},
+             {"task", TextOf(JobTracker::NameOf(*it.unit, 0))},
              {"run", it.unit->last_run},
              {"tasks", it.unit->members.size()},
-             {"by", TextOf(JobBook::NameOf(*it.by, 0))},
+             {"by", TextOf(JobTracker::NameOf(*it.beneficiary, 0))},
              {"guaranteed", it.is_guaranteed},
-             {"lost_core_s", static_cast<std::int64_t>(it.lost)}});
+             {"lost_core_s", static_cast<std::int64_t>(it.lost_core_seconds)}});
 }
 
 int CountTasks(const std::vector<Unit*>& units) {
@@ -51,12 +51,12 @@
   UpdateOpen();
   PlannerDecisions decisions;
   if (MayStart()) {
-    const int under_way = book_.CountUnderWay();
+    const int under_way = book_.CountPendingStarts();
     decisions = planner_.Decide(began, window_.size() - under_way);
     window_.NoteUse(under_way + CountTasks(decisions.starts));
   }
-  waits_for_answers_ = decisions.is_limited;
-  for (const auto& it : decisions.preempted) LogPreemption(it);
+  waits_for_answers_ = decisions.reached_start_limit;
+  for (const auto& it : decisions.preemptions) LogPreemption(it);
   SendStops();
   if (!decisions.starts.empty()) SendStarts(decisions.starts);
   LogEnds();
@@ -98,27 +98,27 @@
   };
   std::map<int, PartStarts> by_part;
   for (const auto* unit : units) {
-    const auto& job = *unit->step->job;
+    const auto& job = *unit->step_run->job;
     if (ports_.metrics != nullptr && unit->last_run == 1) {
       ports_.metrics->Observe(
           "lapishatch_first_start_wait_seconds",
           {{"organisation", job.job->organisation.str()},
            {"priority", std::to_string(job.job->priority)}},
-          std::chrono::duration<double>(unit->started - unit->waiting_since)
+          std::chrono::duration<double>(unit->started_at - unit->waiting_since)
               .count());
     }
     base::Log(base::events::kUnitStarted,
               {{"request", job.job->name},
-               {"task", TextOf(JobBook::NameOf(*unit, 0))},
+               {"task", TextOf(JobTracker::NameOf(*unit, 0))},
                {"run", unit->last_run},
                {"tasks", unit->members.size()},
                {"worker", unit->members.front().worker},
-               {"waited_ms", (unit->started - unit->waiting_since).count()},
-               {"age_ms", (unit->started - job.accepted).count()}});
-    auto& starts = by_part[job.part];
+               {"waited_ms", (unit->started_at - unit->waiting_since).count()},
+               {"age_ms", (unit->started_at - job.accepted_at).count()}});
+    auto& starts = by_part[job.partition];
     starts.jobs.push_back(job.job->name);
     for (std::size_t i = 0; i < unit->members.size(); ++i) {
-      starts.planned.push_back({JobBook::NameOf(*unit, i), unit->last_run});
+      starts.planned.push_back({JobTracker::NameOf(*unit, i), unit->last_run});
     }
   }
   for (auto& [part, starts] : by_part) {
@@ -136,7 +136,7 @@
 void OwnedService::SendStart(const jobs::TaskName& task, int run) {
   auto* unit = FindRun(task, run);
   if (unit == nullptr) return;
-  auto& member = JobBook::MemberOf(*unit, task.index);
+  auto& member = JobTracker::MemberOf(*unit, task.index);
   if (member.state == MemberState::kRunning) return;
   auto* worker = FindWorker(member.worker);
   const bool may_send = worker != nullptr && worker->session->is_heard() &&
@@ -156,18 +156,18 @@
   auto& session = *worker->session;
   StartOrder order{task,
                    run,
-                   unit->step->job->job->spec,
+                   unit->step_run->job->job->spec,
                    session.Clock() + options_.start_window.count(),
                    epoch_,
                    unit->checkpoint};
   session.NoteExpiry(order.expires);
   member.state = MemberState::kUnconfirmed;
-  member.expires = std::max(member.expires, order.expires);
-  member.sent = ports_.loop.Now();
+  member.start_expires_at = std::max(member.start_expires_at, order.expires);
+  member.start_sent_at = ports_.loop.Now();
   ports_.workers.Start(session.address(), std::move(order),
                        options_.start_timeout,
                        [weak = weak_from_this(), task, run,
-                        sent = member.sent](StartResult result) {
+                        sent = member.start_sent_at](StartResult result) {
                          const auto self = weak.lock();
                          if (!self) return;
                          self->NoteStartTime(result, sent);
@@ -186,19 +186,19 @@
   base::Log(base::events::kStartWindowChanged,
             {{"service", service_.str()},
              {"starts", window_.size()},
-             {"under_way", book_.CountUnderWay()}});
+             {"under_way", book_.CountPendingStarts()}});
 }
 
 void OwnedService::OnStarted(const jobs::TaskName& task, int run,
                              StartResult result) {
   auto* unit = FindRun(task, run);
   if (unit == nullptr) return;
-  auto& member = JobBook::MemberOf(*unit, task.index);
+  auto& member = JobTracker::MemberOf(*unit, task.index);
   auto* worker = FindWorker(member.worker);
   const auto now = ports_.loop.Now();
   if (std::holds_alternative<Started>(result)) {
     member.state = MemberState::kRunning;
-    member.confirmed = now;
+    member.confirmed_at = now;
     if (waits_for_answers_) Pump();
     return;
   }
@@ -215,24 +215,27 @@
     }
     // Only the first try can be refused for good: a later one may be refused
     // since an earlier one has run and ended, which the worker then lists.
-    if (member.unanswered > 0) return;
+    if (member.unanswered_starts > 0) return;
     if (worker != nullptr) worker->closed_until = now + options_.refused_pause;
     book_.OnRefused(*unit, task.index, now);
     return Pump();
   }
-  if (std::holds_alternative<NotSent>(result) && member.unanswered == 0) {
+  if (std::holds_alternative<NotSent>(result) &&
+      member.unanswered_starts == 0) {
     if (worker != nullptr) worker->session->MarkUnreached();
     book_.OnRefused(*unit, task.index, now);
     return Pump();
   }
-  ++member.unanswered;
-  base::Log(base::events::kStartUnanswered, {{"request", task.job},
-                                             {"task", TextOf(task)},
-                                             {"run", run},
-                                             {"worker", member.worker},
-                                             {"tries", member.unanswered}});
+  ++member.unanswered_starts;
+  base::Log(base::events::kStartUnanswered,
+            {{"request", task.job},
+             {"task", TextOf(task)},
+             {"run", run},
+             {"worker", member.worker},
+             {"tries", member.unanswered_starts}});
   if (worker != nullptr) worker->session->MarkUnreached();
-  if (member.unanswered < options_.start_tries) return SendStart(task, run);
+  if (member.unanswered_starts < options_.start_tries)
+    return SendStart(task, run);
   book_.Stop(*unit);
   Pump();
 }
@@ -243,9 +246,9 @@
       auto& member = unit->members[i];
       const bool can_stop = member.state == MemberState::kUnconfirmed ||
                             member.state == MemberState::kRunning;
-      if (!can_stop || member.is_stop_under_way) continue;
-      member.is_stop_under_way = true;
-      SendStop(JobBook::NameOf(*unit, i), unit->last_run, member.worker);
+      if (!can_stop || member.is_stop_in_flight) continue;
+      member.is_stop_in_flight = true;
+      SendStop(JobTracker::NameOf(*unit, i), unit->last_run, member.worker);
     }
   }
 }
@@ -271,18 +274,18 @@
   }
   auto* unit = FindRun(task, run);
   if (unit == nullptr) return;
-  auto& member = JobBook::MemberOf(*unit, task.index);
+  auto& member = JobTracker::MemberOf(*unit, task.index);
   if (member.worker != name) return;
   if (std::holds_alternative<Stopped>(result)) {
     member.is_stop_confirmed = true;
-    member.confirmed = ports_.loop.Now();
+    member.confirmed_at = ports_.loop.Now();
   }
   // Its end is listed soon; a stop whose order was lost is sent again.
   ports_.loop.After(options_.stop_again, [weak = weak_from_this(), task, run] {
     const auto self = weak.lock();
     if (!self) return;
     if (auto* it = self->FindRun(task, run)) {
-      JobBook::MemberOf(*it, task.index).is_stop_under_way = false;
+      JobTracker::MemberOf(*it, task.index).is_stop_in_flight = false;
       self->Pump();
     }
   });
@@ -304,15 +307,15 @@
         {{"organisation", job.job->organisation.str()},
          {"priority", std::to_string(job.job->priority)},
          {"state", std::string(base::NameOf(job.state))}},
-        std::chrono::duration<double>(now - job.accepted).count());
+        std::chrono::duration<double>(now - job.accepted_at).count());
   }
   base::Log(base::events::kJobEnded,
             {{"request", job.job->name},
              {"state", base::NameOf(job.state)},
              {"failure", base::NameOf(job.failure)},
              {"priority", job.job->priority},
-             {"objective_ms", job.objective.count()},
-             {"after_ms", (now - job.accepted).count()}});
+             {"objective_ms", job.latency_objective.count()},
+             {"after_ms", (now - job.accepted_at).count()}});
 }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/owned_service.cc
+++ b/src/dispatch/owned_service.cc
@@ -154,13 +154,13 @@
 
 void OwnedService::Tick() {
   if (is_loaded_) {
-    book_.BeginDue(ports_.unix_ms(), ports_.loop.Now());
+    book_.ActivateDueOccurrences(ports_.unix_ms(), ports_.loop.Now());
     CheckLapsed();
     FindSilent();
     CheckStalled();
     NoteEvacuations();
     DrainWorkers();
-    health_.Release(ports_.loop.Now());
+    health_.ReleaseExpired(ports_.loop.Now());
     RemoveOld();
     Pump();
   }
@@ -180,8 +180,9 @@
     auto* job = book_.Find(name);
     const bool may_run =
         std::any_of(book_.active().begin(), book_.active().end(),
-                    [job](const Unit* it) { return it->step->job == job; });
-    const auto& recorder = *recorders_[static_cast<std::size_t>(job->part)];
+                    [job](const Unit* it) { return it->step_run->job == job; });
+    const auto& recorder =
+        *recorders_[static_cast<std::size_t>(job->partition)];
     if (may_run || !recorder.IsRecorded(name)) continue;
     RemoveRows(name);
     ended_at_.erase(name);
--- a/src/dispatch/owned_workers.cc
+++ b/src/dispatch/owned_workers.cc
@@ -67,15 +67,16 @@
 /// Stops what would be lost with a worker that leaves.
 void OwnedService::DrainWorkers() {
   const auto now = ports_.loop.Now();
-  for (auto* unit : FindDrained(book_, departures_, {}, now)) {
-    const auto task = JobBook::NameOf(*unit, 0);
-    base::Log(base::events::kUnitDrained,
-              {{"request", task.job},
-               {"task", TextOf(task)},
-               {"run", unit->last_run},
-               {"tasks", unit->members.size()},
-               {"left_ms", WorkLeft(*unit, unit->members.front(), now).count()},
-               {"saved", !unit->checkpoint.empty()}});
+  for (auto* unit : FindUnitsToDrain(book_, departures_, {}, now)) {
+    const auto task = JobTracker::NameOf(*unit, 0);
+    base::Log(
+        base::events::kUnitDrained,
+        {{"request", task.job},
+         {"task", TextOf(task)},
+         {"run", unit->last_run},
+         {"tasks", unit->members.size()},
+         {"left_ms", RemainingWork(*unit, unit->members.front(), now).count()},
+         {"saved", !unit->checkpoint.empty()}});
     book_.Stop(*unit);
   }
 }
@@ -95,7 +96,7 @@
   events.on_other_life = [weak, name] {
     const auto self = weak.lock();
     if (!self) return;
-    self->EndAllOn(name, WorkerLossReason::kOtherLife);
+    self->EndAllOn(name, WorkerLossReason::kRestarted);
     self->fleet_.Remove(name);
     self->departures_.erase(name);
     self->ports_.loop.Post([weak, name] {
@@ -138,7 +139,7 @@
   if (place == nullptr) return false;
   auto room = place->capacity;
   room -= place->used;
-  room -= place->strays;
+  room -= place->stray_usage;
   return room.Covers({});
 }
 
@@ -208,8 +209,9 @@
                             !silent_.contains(session.entry().domain);
     const bool is_wanted = worker.is_listed && !session.entry().is_draining &&
                            !IsEvacuated(worker);
-    place.is_open = is_reached && is_wanted && worker.closed_until <= now &&
-                    !health_.IsOut(name);
+    place.is_schedulable = is_reached && is_wanted &&
+                           worker.closed_until <= now &&
+                           !health_.IsQuarantined(name);
     const auto& address = session.entry().endpoint;
     place.is_suspect =
         health_.IsSuspect(name, now) || crashes_.IsUnreliable(address, now);
@@ -229,11 +231,11 @@
       continue;
     }
     if (auto* former = book_.FindUnit(it.task)) {
-      strays += CountedNeeds(*former->step->step);
+      strays += ResourcesPerTask(*former->step_run->step);
     }
     SendStop(it.task, it.run, name);
   }
-  if (auto* place = fleet_.Find(name)) place->strays = strays;
+  if (auto* place = fleet_.Find(name)) place->stray_usage = strays;
   for (const auto& it : news.ended) OnEnded(name, it);
   ResolveUnlisted(name, news, sent);
   const auto told = worker->session->ends_received();
@@ -255,40 +257,40 @@
   if (unit == nullptr || unit->members.empty() || unit->last_run != run) {
     return nullptr;
   }
-  const auto& member = JobBook::MemberOf(*unit, task.index);
-  return member.state == MemberState::kOver ? nullptr : unit;
+  const auto& member = JobTracker::MemberOf(*unit, task.index);
+  return member.state == MemberState::kTerminated ? nullptr : unit;
 }
 
 void OwnedService::OnRunning(const base::WorkerName& name,
                              const RunningTask& task, TimePoint sent) {
   auto* unit = FindRun(task.task, task.run);
-  auto& member = JobBook::MemberOf(*unit, task.task.index);
+  auto& member = JobTracker::MemberOf(*unit, task.task.index);
   if (member.worker != name) return;
-  JobBook::OnCheckpoint(*unit, task.checkpoint, sent);
+  JobTracker::OnCheckpoint(*unit, task.checkpoint, sent);
   const bool has_progress =
       task.percent != member.percent || member.state != MemberState::kRunning;
   if (has_progress) {
     member.percent = task.percent;
-    member.last_progress = ports_.loop.Now();
+    member.last_progress_at = ports_.loop.Now();
   }
-  if (member.first_seen == TimePoint{}) {
+  if (member.first_seen_at == TimePoint{}) {
     member.first_percent = task.percent;
-    member.first_seen = ports_.loop.Now();
+    member.first_seen_at = ports_.loop.Now();
   }
   if (member.state == MemberState::kRunning) return;
   member.state = MemberState::kRunning;
-  member.confirmed = sent;
+  member.confirmed_at = sent;
 }
 
 void OwnedService::OnEnded(const base::WorkerName& name, const EndedTask& end) {
   auto* unit = FindRun(end.task, end.run);
   const bool is_present =
       unit != nullptr &&
-      JobBook::MemberOf(*unit, end.task.index).worker == name;
+      JobTracker::MemberOf(*unit, end.task.index).worker == name;
   if (!is_present) {
     auto* former = book_.FindUnit(end.task);
     if (former == nullptr || end.kind != EndKind::kDone) return;
-    book_.OnEarlierDone(*former, end.run, ports_.loop.Now());
+    book_.OnEarlierRunDone(*former, end.run, ports_.loop.Now());
     return;
   }
   if (end.kind != EndKind::kDone) {
@@ -317,10 +319,10 @@
   for (const auto& it : book_.MembersOn(name)) {
     auto* unit = it.first;
     const int index = it.second;
-    auto& member = JobBook::MemberOf(*unit, index);
-    const jobs::TaskName task{unit->step->job->job->name,
-                              unit->step->occurrence, unit->step->number,
-                              index};
+    auto& member = JobTracker::MemberOf(*unit, index);
+    const jobs::TaskName task{unit->step_run->job->job->name,
+                              unit->step_run->occurrence,
+                              unit->step_run->number, index};
     const bool is_listed =
         std::any_of(news.running.begin(), news.running.end(),
                     [&task, run = unit->last_run](const RunningTask& running) {
@@ -328,12 +330,12 @@
                     });
     if (is_listed || member.state == MemberState::kPlanned) continue;
     const bool was_confirmed =
-        member.confirmed != TimePoint{} && member.confirmed < sent &&
+        member.confirmed_at != TimePoint{} && member.confirmed_at < sent &&
         (member.state == MemberState::kRunning || member.is_stop_confirmed);
     // A start of a former owner has no known expiry here (0): this owner's
     // epoch has ended it.
     const bool is_too_late = member.state == MemberState::kUnconfirmed &&
-                             news.clock > member.expires;
+                             news.clock > member.start_expires_at;
     if (!was_confirmed && !is_too_late) continue;
     base::Log(base::events::kTaskVanished, {{"request", task.job},
                                             {"task", TextOf(task)},
@@ -349,7 +351,7 @@
   const auto now = ports_.loop.Now();
   std::vector<Unit*> stalled;
   for (auto* unit : book_.active()) {
-    const auto& step = *unit->step->step;
+    const auto& step = *unit->step_run->step;
     if (unit->is_stopping || unit->phase == jobs::UnitPhase::kDone) continue;
     if (step.is_service) continue;
     const auto share = base::Duration(static_cast<std::int64_t>(
@@ -359,28 +361,29 @@
     std::set<base::WorkerName> still;
     for (const auto& it : unit->members) {
       const bool is_still = it.state == MemberState::kRunning &&
-                            it.last_progress != TimePoint{} &&
-                            now - it.last_progress > patience;
+                            it.last_progress_at != TimePoint{} &&
+                            now - it.last_progress_at > patience;
       if (is_still) still.insert(it.worker);
     }
     if (still.empty()) continue;
     // A whole gang stands still when one of its tasks does: which worker it is
     // shows by what else is there.
     if (unit->members.size() == 1) {
-      health_.PutOut(*still.begin(), workers_.size(), now);
+      health_.Quarantine(*still.begin(), workers_.size(), now);
     }
-    std::erase_if(still, [this](const auto& it) { return !health_.IsOut(it); });
+    std::erase_if(
+        still, [this](const auto& it) { return !health_.IsQuarantined(it); });
     if (still.empty()) continue;
-    unit->failed_on = std::move(still);
+    unit->failed_workers = std::move(still);
     stalled.push_back(unit);
   }
   for (auto* unit : stalled) {
-    const auto task = JobBook::NameOf(*unit, 0);
+    const auto task = JobTracker::NameOf(*unit, 0);
     base::Log(base::events::kTaskStalled,
               {{"request", task.job},
                {"task", TextOf(task)},
                {"run", unit->last_run},
-               {"worker", *unit->failed_on.begin()}});
+               {"worker", *unit->failed_workers.begin()}});
     book_.Stop(*unit);
   }
 }
@@ -405,14 +408,14 @@
         it.is_heard() ? it.HasLapsed() : now - taken_at_ > unheard;
     if (!has_lapsed) continue;
     if (!book_.MembersOn(name).empty()) {
-      EndAllOn(name, WorkerLossReason::kLapsed);
+      EndAllOn(name, WorkerLossReason::kLeaseExpired);
     }
     if (!worker.is_listed) gone.push_back(name);
   }
   for (const auto& it : gone) {
     workers_.erase(it);
     departures_.erase(it);
-    health_.Forget(it);
+    health_.Remove(it);
     fleet_.Remove(it);
   }
   if (now - taken_at_ <= unheard) return;
@@ -421,7 +424,8 @@
   for (auto* unit : book_.active()) {
     for (std::size_t i = 0; i < unit->members.size(); ++i) {
       const auto& it = unit->members[i];
-      if (it.state == MemberState::kOver || workers_.contains(it.worker)) {
+      if (it.state == MemberState::kTerminated ||
+          workers_.contains(it.worker)) {
         continue;
       }
       lost[it.worker].emplace_back(unit,
--- a/src/dispatch/placer.cc
+++ b/src/dispatch/placer.cc
@@ -23,34 +23,37 @@
 
 using Candidates = std::vector<Candidate>;
 
-int TasksLeft(const FleetWorker& worker, const PlaceRequest& request) {
+int TasksLeft(const FleetWorker& worker, const PlacementRequest& request) {
   if (request.step->max_tasks_per_worker == 0) return request.tasks;
   int present = 0;
-  if (request.on_worker != nullptr) {
-    const auto it = request.on_worker->find(worker.name);
-    if (it != request.on_worker->end()) present = it->second;
+  if (request.tasks_by_worker != nullptr) {
+    const auto it = request.tasks_by_worker->find(worker.name);
+    if (it != request.tasks_by_worker->end()) present = it->second;
   }
   return request.step->max_tasks_per_worker - present;
 }
 
-bool IsAllowed(const FleetWorker& worker, const PlaceRequest& request) {
+bool IsAllowed(const FleetWorker& worker, const PlacementRequest& request) {
   const auto& label = request.step->required_label;
   if (!label.empty() && !worker.HasLabel(label)) return false;
-  if (request.avoids_suspects && worker.IsRisky()) return false;
+  if (request.excludes_risky_workers && worker.IsRisky()) return false;
   const bool is_unfit_for_suspects =
       worker.suspect_tasks > 0 || worker.has_recent_crash;
   if (request.is_suspect && is_unfit_for_suspects) return false;
-  return request.avoid == nullptr || !request.avoid->contains(worker.name);
+  return request.excluded_workers == nullptr ||
+         !request.excluded_workers->contains(worker.name);
 }
 
-Candidates CandidatesOf(OpenWorkers& open, const PlaceRequest& request) {
+Candidates CandidatesOf(SchedulableWorkers& workers,
+                        const PlacementRequest& request) {
   Candidates out;
-  const auto needs = CountedNeeds(*request.step);
-  open.VisitWithFree(needs.accelerators, [&](const FleetWorker& worker) {
+  const auto needs = ResourcesPerTask(*request.step);
+  workers.VisitWithFree(needs.accelerators, [&](const FleetWorker& worker) {
     const auto room = worker.Free();
     if (!room.Covers(needs) || !IsAllowed(worker, request)) return;
     const int left = TasksLeft(worker, request);
-    if (left > 0) out.push_back({&worker, room, left, open.FreeOnRack(worker)});
+    if (left > 0)
+      out.push_back({&worker, room, left, workers.FreeOnRack(worker)});
   });
   return out;
 }
@@ -84,14 +87,15 @@
 /// Puts all tasks on `candidates`, best fit first, or emptiest first for
 /// suspect tasks; nothing where they do not fit. Each candidate is filled
 /// before the next, so only as many are sorted as are taken.
-std::optional<Places> Fill(Candidates candidates, const PlaceRequest& request) {
-  const auto needs = CountedNeeds(*request.step);
+std::optional<Placement> Fill(Candidates candidates,
+                              const PlacementRequest& request) {
+  const auto needs = ResourcesPerTask(*request.step);
   const auto is_worse = [&request](const Candidate& a, const Candidate& b) {
     if (request.is_suspect) return EmptiestFirst(b) < EmptiestFirst(a);
     return Leftover(b) < Leftover(a);
   };
   std::make_heap(candidates.begin(), candidates.end(), is_worse);
-  Places out;
+  Placement out;
   const auto tasks = static_cast<std::size_t>(request.tasks);
   out.reserve(tasks);
   while (out.size() < tasks) {
@@ -107,13 +111,13 @@
 }
 
 /// The rack that the gang fills best: fewest accelerators are left on it.
-std::optional<Places> FillOneRack(const Candidates& candidates,
-                                  const PlaceRequest& request) {
+std::optional<Placement> FillOneRack(const Candidates& candidates,
+                                     const PlacementRequest& request) {
   struct RackRoom {
     int tasks = 0;
     std::int64_t accelerators = 0;
   };
-  const auto needs = CountedNeeds(*request.step);
+  const auto needs = ResourcesPerTask(*request.step);
   std::map<base::RackName, RackRoom> racks;
   for (const auto& it : candidates) {
     auto& rack = racks[it.worker->rack];
@@ -145,9 +149,9 @@
 }
 
 /// Tasks of the step that `workers` would hold if nothing ran there.
-int CountInEmpty(const OpenWorkers::List& workers,
-                 const PlaceRequest& request) {
-  const auto needs = CountedNeeds(*request.step);
+int CountInEmpty(const SchedulableWorkers::List& workers,
+                 const PlacementRequest& request) {
+  const auto needs = ResourcesPerTask(*request.step);
   const auto& step = *request.step;
   const int most =
       step.max_tasks_per_worker > 0 ? step.max_tasks_per_worker : request.tasks;
@@ -163,32 +167,33 @@
 
 }  // namespace
 
-bool HasSlowPlaces(const jobs::Step& step) {
+bool PrefersRack(const jobs::Step& step) {
   return !step.preferred_rack.empty() ||
          (step.is_gang && step.prefers_single_rack);
 }
 
-std::optional<Places> FindPlaces(OpenWorkers& open,
-                                 const PlaceRequest& request) {
-  auto candidates = CandidatesOf(open, request);
+std::optional<Placement> FindPlacement(SchedulableWorkers& workers,
+                                       const PlacementRequest& request) {
+  auto candidates = CandidatesOf(workers, request);
   const auto& step = *request.step;
   if (!step.preferred_rack.empty()) {
-    auto places = Fill(OnRack(candidates, step.preferred_rack), request);
-    if (places || !request.accepts_slow) return places;
+    auto placement = Fill(OnRack(candidates, step.preferred_rack), request);
+    if (placement || !request.allows_other_racks) return placement;
   }
   if (step.is_gang && step.prefers_single_rack) {
-    auto places = FillOneRack(candidates, request);
-    if (places || !request.accepts_slow) return places;
+    auto placement = FillOneRack(candidates, request);
+    if (placement || !request.allows_other_racks) return placement;
   }
   return Fill(std::move(candidates), request);
 }
 
-bool CouldEverFit(const OpenWorkers& open, const PlaceRequest& request) {
+bool FitsWhenEmpty(const SchedulableWorkers& workers,
+                   const PlacementRequest& request) {
   const auto& step = *request.step;
-  const auto fits = [&request](const OpenWorkers::List& workers) {
-    return CountInEmpty(workers, request) >= request.tasks;
+  const auto fits = [&request](const SchedulableWorkers::List& list) {
+    return CountInEmpty(list, request) >= request.tasks;
   };
-  const auto& racks = open.racks();
+  const auto& racks = workers.racks();
   if (!step.preferred_rack.empty()) {
     const auto it = racks.find(step.preferred_rack);
     return it != racks.end() && fits(it->second);
@@ -197,7 +202,7 @@
     return std::any_of(racks.begin(), racks.end(),
                        [&fits](const auto& it) { return fits(it.second); });
   }
-  return fits(open.all());
+  return fits(workers.all());
 }
 
 }  // namespace lapishatch::dispatch
--- a/src/dispatch/reclaim.cc
+++ b/src/dispatch/reclaim.cc
@@ -16,15 +16,15 @@
 
 }  // namespace
 
-/// One search for places on some workers.
-class ReclaimBoard::Search {
+/// One search for placement on some workers.
+class ReclaimCandidates::Search {
  public:
-  Search(const ReclaimBoard& board, const StepRun& run,
-         const OpenWorkers::List& workers)
-      : run_(run), needs_(CountedNeeds(*run.step)) {
+  Search(const ReclaimCandidates& board, const StepRun& run,
+         const SchedulableWorkers::List& workers)
+      : run_(run), needs_(ResourcesPerTask(*run.step)) {
     sites_.reserve(workers.size());
     for (const auto* it : workers) AddSite(board, *it);
-    for (auto& it : sites_) MakeOffer(it);
+    for (auto& it : sites_) UpdateOffer(it);
   }
 
   std::optional<ReclaimPlan> Run() {
@@ -57,7 +57,7 @@
     double cost = 0;
   };
 
-  void AddSite(const ReclaimBoard& board, const FleetWorker& worker) {
+  void AddSite(const ReclaimCandidates& board, const FleetWorker& worker) {
     // Nothing is stopped for a place where the unit may well fail.
     if (worker.IsRisky()) return;
     const auto& step = *run_.step;
@@ -65,8 +65,8 @@
     if (!label.empty() && !worker.HasLabel(label)) return;
     int left = run_.TasksPerUnit();
     if (step.max_tasks_per_worker > 0) {
-      const auto it = run_.on_worker.find(worker.name);
-      const int present = it == run_.on_worker.end() ? 0 : it->second;
+      const auto it = run_.tasks_by_worker.find(worker.name);
+      const int present = it == run_.tasks_by_worker.end() ? 0 : it->second;
       left = step.max_tasks_per_worker - present;
     }
     Site site;
@@ -77,9 +77,11 @@
     sites_.push_back(site);
   }
 
-  bool MayStop(const Unit& unit) const { return unit.step->job != run_.job; }
+  bool MayStop(const Unit& unit) const {
+    return unit.step_run->job != run_.job;
+  }
 
-  void MakeOffer(Site& site) const {
+  void UpdateOffer(Site& site) const {
     site.is_offered = false;
     if (site.tasks_left <= 0) return;
     auto room = site.room;
@@ -98,7 +100,7 @@
 
   void Take(Site& site, ReclaimPlan& plan) {
     plan.cost += site.cost;
-    plan.places.push_back(site.worker->name);
+    plan.placement.push_back(site.worker->name);
     bool has_stopped_gang = false;
     for (; site.next < site.end; ++site.next) {
       const auto& stop = (*site.stops)[site.next];
@@ -110,10 +112,10 @@
     }
     site.room -= needs_;
     --site.tasks_left;
-    MakeOffer(site);
+    UpdateOffer(site);
     // Its other tasks are stopped as well: their workers became cheaper.
     if (!has_stopped_gang) return;
-    for (auto& it : sites_) MakeOffer(it);
+    for (auto& it : sites_) UpdateOffer(it);
   }
 
   const StepRun& run_;
@@ -122,13 +124,13 @@
   std::set<const Unit*> stopped_;
 };
 
-ReclaimBoard::ReclaimBoard(const OpenWorkers& open,
-                           const std::vector<Victim>& victims)
+ReclaimCandidates::ReclaimCandidates(const SchedulableWorkers& open,
+                                     const std::vector<Victim>& victims)
     : open_(open) {
   for (const auto& victim : victims) {
-    const auto needs = CountedNeeds(*victim.unit->step->step);
+    const auto needs = ResourcesPerTask(*victim.unit->step_run->step);
     for (const auto& member : victim.unit->members) {
-      if (member.state == MemberState::kOver) continue;
+      if (member.state == MemberState::kTerminated) continue;
       auto& stops = stops_[member.worker];
       const bool is_there = !stops.empty() && stops.back().unit == victim.unit;
       if (!is_there) stops.push_back({victim.unit, victim.cost, Resources{}});
@@ -137,19 +139,19 @@
   }
 }
 
-std::optional<ReclaimPlan> ReclaimBoard::FindAnywhere(
+std::optional<ReclaimPlan> ReclaimCandidates::FindAnywhere(
     const StepRun& run) const {
   return Search(*this, run, open_.all()).Run();
 }
 
-std::optional<ReclaimPlan> ReclaimBoard::FindOn(
+std::optional<ReclaimPlan> ReclaimCandidates::FindOnRack(
     const StepRun& run, const base::RackName& rack) const {
   const auto it = open_.racks().find(rack);
   if (it == open_.racks().end()) return std::nullopt;
   return Search(*this, run, it->second).Run();
 }
 
-std::optional<ReclaimPlan> ReclaimBoard::FindOnOneRack(
+std::optional<ReclaimPlan> ReclaimCandidates::FindOnOneRack(
     const StepRun& run) const {
   std::optional<ReclaimPlan> best;
   for (const auto& [rack, workers] : open_.racks()) {
@@ -159,7 +161,7 @@
   return best;
 }
 
-void ReclaimBoard::NoteStopped(const ReclaimPlan& plan) {
+void ReclaimCandidates::MarkStopped(const ReclaimPlan& plan) {
   for (const auto* unit : plan.victims) {
     for (const auto& member : unit->members) {
       const auto it = stops_.find(member.worker);
@@ -171,7 +173,7 @@
   }
 }
 
-const ReclaimBoard::Stops& ReclaimBoard::StopsOn(
+const ReclaimCandidates::Stops& ReclaimCandidates::StopsOn(
     const base::WorkerName& worker) const {
   static const Stops kNone;
   const auto it = stops_.find(worker);
--- a/src/dispatch/recorder.cc
+++ b/src/dispatch/recorder.cc
@@ -28,7 +28,7 @@
 class Recorder::Impl : public std::enable_shared_from_this<Impl> {
  public:
   Impl(base::EventLoop& loop, store::RowStore& store, std::string part,
-       int index, RowVersion fence, JobBook& book, RecorderOptions options,
+       int index, RowVersion fence, JobTracker& book, RecorderOptions options,
        std::function<void(const std::string&)> on_lost)
       : loop_(loop),
         store_(store),
@@ -222,8 +222,8 @@
   store::RowStore& store_;
   const std::string part_;
   const RowVersion fence_;
-  JobBook& book_;
-  JobBook::DirtyJobs& dirty_;
+  JobTracker& book_;
+  JobTracker::DirtyJobs& dirty_;
   const RecorderOptions options_;
   const std::function<void(const std::string&)> on_lost_;
   base::Random random_;
@@ -245,7 +245,7 @@
 
 Recorder::Recorder(base::EventLoop& loop, store::RowStore& store,
                    std::string part, int index, store::RowVersion fence,
-                   JobBook& book, RecorderOptions options,
+                   JobTracker& book, RecorderOptions options,
                    std::function<void(const std::string&)> on_lost)
     : impl_(std::make_shared<Impl>(loop, store, std::move(part), index, fence,
                                    book, options, std::move(on_lost))) {}
--- a/src/dispatch/open_workers.cc
+++ b/src/dispatch/schedulable_workers.cc
@@ -1,15 +1,16 @@
-#include "dispatch/open_workers.h"
+#include "dispatch/schedulable_workers.h"
 
 #include <algorithm>
 #include <unordered_map>
 
 namespace lapishatch::dispatch {
 
-OpenWorkers::OpenWorkers(Fleet& fleet) : by_free_(kMostLevel + 1) {
+SchedulableWorkers::SchedulableWorkers(Fleet& fleet)
+    : buckets_(kMaxBucket + 1) {
   all_.reserve(fleet.workers().size());
   std::unordered_map<base::RackName, std::size_t> indices;
   for (auto& [name, worker] : fleet.workers()) {
-    if (!worker.is_open) continue;
+    if (!worker.is_schedulable) continue;
     all_.push_back(&worker);
     const auto [it, is_new] =
         indices.try_emplace(worker.rack, free_on_rack_.size());
@@ -19,11 +20,11 @@
     // Negative if the capacity was reduced below what tasks use there.
     const auto free = std::max<std::int64_t>(worker.Free().accelerators, 0);
     free_on_rack_[worker.rack_index] += free;
-    by_free_[LevelOf(free)].push_back(&worker);
-    accelerators_ += worker.capacity.accelerators;
+    buckets_[BucketOf(free)].push_back(&worker);
+    total_accelerators_ += worker.capacity.accelerators;
     free_accelerators_ += free;
-    has_doubted_ = has_doubted_ || worker.IsRisky();
-    has_sound_ = has_sound_ || !worker.IsRisky();
+    has_risky_ = has_risky_ || worker.IsRisky();
+    has_safe_ = has_safe_ || !worker.IsRisky();
   }
 }
 
--- a/src/dispatch/task_planner.cc
+++ b/src/dispatch/task_planner.cc
@@ -16,12 +16,12 @@
 using jobs::Resources;
 using jobs::UnitPhase;
 
-PlaceRequest RequestFor(const StepRun& run, bool accepts_slow) {
-  PlaceRequest out;
+PlacementRequest RequestFor(const StepRun& run, bool allows_other_racks) {
+  PlacementRequest out;
   out.step = run.step;
   out.tasks = run.TasksPerUnit();
-  out.on_worker = &run.on_worker;
-  out.accepts_slow = accepts_slow;
+  out.tasks_by_worker = &run.tasks_by_worker;
+  out.allows_other_racks = allows_other_racks;
   return out;
 }
 
@@ -40,7 +40,7 @@
 
 /// Whether one more failure of the unit is the end of its job.
 bool IsLastAttempt(const Unit& unit) {
-  const auto& run = *unit.step;
+  const auto& run = *unit.step_run;
   return !run.step->is_service &&
          unit.failures + 1 >= run.job->job->max_attempts;
 }
@@ -53,9 +53,9 @@
 
 /// Core-seconds since a unit's last checkpoint.
 double LostBy(const Unit& unit, base::TimePoint now) {
-  const auto saved = std::max(unit.started, unit.checkpointed);
-  return SecondsOf(now - saved) * CoresOf(*unit.step->step) *
-         unit.step->TasksPerUnit();
+  const auto saved = std::max(unit.started_at, unit.checkpointed_at);
+  return SecondsOf(now - saved) * CoresOf(*unit.step_run->step) *
+         unit.step_run->TasksPerUnit();
 }
 
 }  // namespace
@@ -65,25 +65,25 @@
   guarantees_ = std::move(guarantees);
 }
 
-PlannerDecisions TaskPlanner::Decide(base::TimePoint now, int most_starts) {
+PlannerDecisions TaskPlanner::Decide(base::TimePoint now, int max_starts) {
   PlannerDecisions out;
-  open_.emplace(fleet_);
+  workers_.emplace(fleet_);
   boards_.Clear();
-  starts_left_ = most_starts;
+  starts_left_ = max_starts;
   quiet_starts_left_ =
-      most_starts - static_cast<int>(options_.urgent_starts * most_starts);
+      max_starts - static_cast<int>(options_.urgent_start_share * max_starts);
   urgent_needs_ = UrgentNeeds();
   UpdateHeadroom(now);
   StartReserved(now, out);
   for (auto* it : ReadyInOrder(now)) {
     if (starts_left_ <= 0) {
-      out.is_limited = true;
+      out.reached_start_limit = true;
       break;
     }
     StartReady(*it, now, out);
   }
   boards_.Clear();
-  open_.reset();
+  workers_.reset();
   return out;
 }
 
@@ -95,16 +95,17 @@
     const auto& job = *it->job;
     const auto status = DeadlineStatusOf(*it, now);
     const bool is_urgent = job.job->priority == kUrgentPriority;
-    const auto latest = job.accepted + job.objective - it->tail;
+    const auto latest =
+        job.accepted_at + job.latency_objective - it->critical_path;
     const std::string_view name = job.job->name.str();
-    return std::tuple(status == DeadlineStatus::kPast,
+    return std::tuple(status == DeadlineStatus::kExpired,
                       status == DeadlineStatus::kLate && !is_urgent,
                       job.job->priority, status, latest, name, it->occurrence,
                       it->number, it);
   };
   std::vector<decltype(key(nullptr))> keys;
-  keys.reserve(book_.ready().size());
-  for (auto* it : book_.ready()) keys.push_back(key(it));
+  keys.reserve(tracker_.ready().size());
+  for (auto* it : tracker_.ready()) keys.push_back(key(it));
   std::sort(keys.begin(), keys.end());
   std::vector<StepRun*> out;
   out.reserve(keys.size());
@@ -117,18 +118,20 @@
 /// quiet work that has just begun in the room of the last one.
 void TaskPlanner::UpdateHeadroom(base::TimePoint now) {
   std::int64_t urgent = 0;
-  for (const auto* it : book_.active()) {
-    if (it->step->job->job->priority != kUrgentPriority) continue;
-    urgent += it->step->step->needs.accelerators * it->step->TasksPerUnit();
+  for (const auto* it : tracker_.active()) {
+    if (it->step_run->job->job->priority != kUrgentPriority) continue;
+    urgent +=
+        it->step_run->step->needs.accelerators * it->step_run->TasksPerUnit();
   }
   const auto passed = std::max(now - peak_at_, base::Duration(0));
-  const double faded = urgent_peak_ * std::exp(-SecondsOf(passed) /
-                                               SecondsOf(options_.peak_fades));
+  const double faded =
+      urgent_peak_ *
+      std::exp(-SecondsOf(passed) / SecondsOf(options_.peak_decay_time));
   urgent_peak_ = std::max(faded, static_cast<double>(urgent));
   peak_at_ = now;
-  const auto all = open_->accelerators();
-  free_ = open_->free_accelerators();
-  const auto most = options_.most_headroom * static_cast<double>(all);
+  const auto all = workers_->total_accelerators();
+  free_ = workers_->free_accelerators();
+  const auto most = options_.max_headroom_share * static_cast<double>(all);
   const auto wanted = urgent_peak_ - static_cast<double>(urgent);
   headroom_ = static_cast<std::int64_t>(std::min(most, wanted));
   is_half_free_ = 2 * free_ > all;
@@ -137,10 +140,10 @@
 /// Counts the tasks of a unit that is started now; a reserved place was not
 /// among what was free.
 void TaskPlanner::CountStart(const Unit& unit, bool was_free) {
-  const int tasks = unit.step->TasksPerUnit();
+  const int tasks = unit.step_run->TasksPerUnit();
   starts_left_ -= tasks;
   quiet_starts_left_ -= tasks;
-  if (was_free) free_ -= unit.step->step->needs.accelerators * tasks;
+  if (was_free) free_ -= unit.step_run->step->needs.accelerators * tasks;
 }
 
 /// Whether one more unit of a step would take room that is kept.
@@ -148,8 +151,9 @@
                                     base::TimePoint now) const {
   const auto& job = *run.job;
   if (job.job->priority == kUrgentPriority) return false;
-  const auto latest = job.accepted + job.objective - run.tail;
-  if (now + options_.headroom_slack > latest) return false;
+  const auto latest =
+      job.accepted_at + job.latency_objective - run.critical_path;
+  if (now + options_.min_slack_for_headroom > latest) return false;
   const auto takes = run.step->needs.accelerators * run.TasksPerUnit();
   return takes > 0 && free_ - takes < headroom_;
 }
@@ -158,13 +162,14 @@
                                              base::TimePoint now) const {
   const auto& job = *run.job;
   const auto left = base::Duration(static_cast<std::int64_t>(
-      options_.sure_share * static_cast<double>(run.tail.count())));
-  const auto begun = run.due_ms > 0 ? run.ready_since : job.accepted;
-  if (now + left > begun + options_.past_after * job.objective) {
-    return DeadlineStatus::kPast;
+      options_.required_time_share *
+      static_cast<double>(run.critical_path.count())));
+  const auto begun = run.due_ms > 0 ? run.ready_since : job.accepted_at;
+  if (now + left > begun + options_.expiry_factor * job.latency_objective) {
+    return DeadlineStatus::kExpired;
   }
-  return now + left > begun + job.objective ? DeadlineStatus::kLate
-                                            : DeadlineStatus::kInTime;
+  return now + left > begun + job.latency_objective ? DeadlineStatus::kLate
+                                                    : DeadlineStatus::kInTime;
 }
 
 /// Accelerators that the urgent jobs of each organisation need at once, those
@@ -172,7 +177,7 @@
 std::map<base::OrganisationName, std::int64_t> TaskPlanner::UrgentNeeds()
     const {
   std::map<base::OrganisationName, std::int64_t> out;
-  for (const auto* entry : book_.unfinished()) {
+  for (const auto* entry : tracker_.unfinished()) {
     if (entry->job->priority != kUrgentPriority) continue;
     std::int64_t needs = 0;
     for (const auto& it : entry->job->steps) {
@@ -185,13 +190,14 @@
 
 /// Whether it is worth waiting for a place that is not slow.
 bool TaskPlanner::CouldFit(StepRun& run, base::TimePoint now) const {
-  if (!HasSlowPlaces(*run.step)) return true;
-  if (run.could_fit && now - run.fit_checked_at < options_.fit_recheck) {
+  if (!PrefersRack(*run.step)) return true;
+  if (run.fits_when_empty &&
+      now - run.fit_checked_at < options_.fit_cache_time) {
     return true;
   }
-  run.could_fit = CouldEverFit(*open_, RequestFor(run, false));
+  run.fits_when_empty = FitsWhenEmpty(*workers_, RequestFor(run, false));
   run.fit_checked_at = now;
-  return run.could_fit;
+  return run.fits_when_empty;
 }
 
 bool TaskPlanner::IsGuaranteed(const JobEntry& job) const {
@@ -204,41 +210,44 @@
 }
 
 ReservationState TaskPlanner::StateOf(
-    const std::vector<base::WorkerName>& places, const Resources& needs) {
+    const std::vector<base::WorkerName>& placement, const Resources& needs) {
   std::map<base::WorkerName, Resources> wanted;
-  for (const auto& it : places) wanted[it] += needs;
+  for (const auto& it : placement) wanted[it] += needs;
   bool is_free = true;
   for (const auto& [name, room] : wanted) {
     const auto* worker = fleet_.Find(name);
-    if (worker == nullptr || !worker->is_open) return ReservationState::kGone;
+    if (worker == nullptr || !worker->is_schedulable)
+      return ReservationState::kInvalid;
     is_free = is_free && worker->Free().Covers(room);
   }
-  return is_free ? ReservationState::kFree : ReservationState::kTaken;
+  return is_free ? ReservationState::kFree : ReservationState::kOccupied;
 }
 
-/// Starts units whose reserved places have become free, or that other places
+/// Starts units whose reserved placement have become free, or that other places
 /// have become free for: stops of what is preempted take their time, and tasks
 /// end everywhere meanwhile.
 void TaskPlanner::StartReserved(base::TimePoint now, PlannerDecisions& out) {
-  const std::vector<StepRun*> ready(book_.ready().begin(), book_.ready().end());
+  const std::vector<StepRun*> ready(tracker_.ready().begin(),
+                                    tracker_.ready().end());
   for (auto* run : ready) {
-    const auto needs = CountedNeeds(*run->step);
+    const auto needs = ResourcesPerTask(*run->step);
     for (auto& unit : run->units) {
       if (unit.reserved.empty()) continue;
       const auto reserved = unit.reserved;
-      book_.DropReservation(unit);
+      tracker_.DropReservation(unit);
       const auto state = StateOf(reserved, needs);
-      if (state == ReservationState::kGone) continue;
-      std::optional<Places> places = reserved;
-      if (state == ReservationState::kTaken) {
-        places = FindSoundPlaces(unit, RequestFor(*run, false), false);
+      if (state == ReservationState::kInvalid) continue;
+      std::optional<Placement> placement = reserved;
+      if (state == ReservationState::kOccupied) {
+        placement =
+            FindPreferredPlacement(unit, RequestFor(*run, false), false);
       }
-      if (!places) {
-        book_.SetReservation(unit, reserved);
+      if (!placement) {
+        tracker_.SetReservation(unit, reserved);
         continue;
       }
-      book_.Plan(unit, *places, now);
-      CountStart(unit, state == ReservationState::kTaken);
+      tracker_.Plan(unit, *placement, now);
+      CountStart(unit, state == ReservationState::kOccupied);
       out.starts.push_back(&unit);
     }
   }
@@ -253,33 +262,33 @@
     if (unit.phase != UnitPhase::kWaiting || !unit.reserved.empty()) continue;
     // Orders beyond what workers answer in time would wait behind each other.
     if ((is_urgent ? starts_left_ : quiet_starts_left_) <= 0) {
-      out.is_limited = true;
+      out.reached_start_limit = true;
       return;
     }
     const auto waited = now - unit.waiting_since;
     const bool is_starved = is_half_free_ && waited >= options_.rack_wait_limit;
     if (!is_starved && MustLeaveHeadroom(run, now)) return;
     const auto patience = base::Duration(static_cast<std::int64_t>(
-        options_.slow_place_after *
+        options_.rack_wait_factor *
         static_cast<double>(run.step->run_time_estimate.count())));
     auto request = RequestFor(run, waited >= patience);
     const bool is_suspect = IsSuspect(unit.losses);
-    request.is_suspect = is_suspect && waited < options_.suspect_wait;
-    if (is_urgent && is_late) request.accepts_slow = true;
-    if (is_guaranteed && waited >= options_.guaranteed_slow_after) {
-      request.accepts_slow = true;
+    request.is_suspect = is_suspect && waited < options_.max_suspect_wait;
+    if (is_urgent && is_late) request.allows_other_racks = true;
+    if (is_guaranteed && waited >= options_.guaranteed_rack_wait) {
+      request.allows_other_racks = true;
     }
     const bool gives_up_rack =
         is_half_free_ &&
-        waited >= options_.rack_wait_limit + options_.preempted_within;
-    if (gives_up_rack) request.accepts_slow = true;
-    auto places = FindSoundPlaces(unit, request, is_starved);
-    if (!places && !request.accepts_slow && !CouldFit(run, now)) {
-      request.accepts_slow = true;
-      places = FindSoundPlaces(unit, request, is_starved);
+        waited >= options_.rack_wait_limit + options_.max_preemption_time;
+    if (gives_up_rack) request.allows_other_racks = true;
+    auto placement = FindPreferredPlacement(unit, request, is_starved);
+    if (!placement && !request.allows_other_racks && !CouldFit(run, now)) {
+      request.allows_other_racks = true;
+      placement = FindPreferredPlacement(unit, request, is_starved);
     }
-    if (places) {
-      book_.Plan(unit, *places, now);
+    if (placement) {
+      tracker_.Plan(unit, *placement, now);
       CountStart(unit, true);
       out.starts.push_back(&unit);
       continue;
@@ -299,42 +308,43 @@
   }
 }
 
-/// Places where the unit is not known to fail: not where it has failed, and not
-/// on suspect workers, unless it has attempts to spare or has waited long
+/// Placement where the unit is not known to fail: not where it has failed, and
+/// not on suspect workers, unless it has attempts to spare or has waited long
 /// (`is_starved`), and finds no others.
-std::optional<Places> TaskPlanner::FindSoundPlaces(const Unit& unit,
-                                                   PlaceRequest request,
-                                                   bool is_starved) {
-  if (!unit.failed_on.empty()) request.avoid = &unit.failed_on;
-  request.avoids_suspects = true;
-  auto places = FindPlaces(*open_, request);
-  if (places) return places;
+std::optional<Placement> TaskPlanner::FindPreferredPlacement(
+    const Unit& unit, PlacementRequest request, bool is_starved) {
+  if (!unit.failed_workers.empty())
+    request.excluded_workers = &unit.failed_workers;
+  request.excludes_risky_workers = true;
+  auto placement = FindPlacement(*workers_, request);
+  if (placement) return placement;
   // Where all are suspect, the job may be the cause as well as the worker.
   const bool may_risk =
-      !IsLastAttempt(unit) || !open_->has_sound() || is_starved;
-  if (open_->has_suspects() && may_risk) {
-    request.avoids_suspects = false;
-    places = FindPlaces(*open_, request);
+      !IsLastAttempt(unit) || !workers_->has_safe() || is_starved;
+  if (workers_->has_risky() && may_risk) {
+    request.excludes_risky_workers = false;
+    placement = FindPlacement(*workers_, request);
   }
-  if (places || unit.failed_on.empty()) return places;
-  request.avoid = nullptr;
-  return FindPlaces(*open_, request);
+  if (placement || unit.failed_workers.empty()) return placement;
+  request.excluded_workers = nullptr;
+  return FindPlacement(*workers_, request);
 }
 
 /// Whether only its wish for a rack keeps the unit from starting.
-bool TaskPlanner::FitsOffRack(const Unit& unit, PlaceRequest request,
+bool TaskPlanner::FitsOffRack(const Unit& unit, PlacementRequest request,
                               bool is_starved) {
-  if (request.accepts_slow || !HasSlowPlaces(*request.step)) return false;
-  request.accepts_slow = true;
-  return FindSoundPlaces(unit, request, is_starved).has_value();
+  if (request.allows_other_racks || !PrefersRack(*request.step)) return false;
+  request.allows_other_racks = true;
+  return FindPreferredPlacement(unit, request, is_starved).has_value();
 }
 
 /// What stopping a unit costs: the work since its last checkpoint, and more
 /// where its job would then be late or it was started again before.
 double TaskPlanner::CostOf(const Unit& victim, base::TimePoint now) const {
-  const auto& run = *victim.step;
+  const auto& run = *victim.step_run;
   auto out = LostBy(victim, now);
-  const auto latest = run.job->accepted + run.job->objective - run.tail;
+  const auto latest =
+      run.job->accepted_at + run.job->latency_objective - run.critical_path;
   if (now > latest) out += WorkOf(run);
   constexpr double kAgain = 0.25;
   return out + kAgain * WorkOf(run) * (victim.last_run - 1);
@@ -346,9 +356,9 @@
 std::vector<Victim> TaskPlanner::Victims(bool is_guaranteed,
                                          base::TimePoint now) const {
   std::vector<Victim> out;
-  out.reserve(book_.active().size());
-  for (auto* it : book_.active()) {
-    const auto& job = *it->step->job;
+  out.reserve(tracker_.active().size());
+  for (auto* it : tracker_.active()) {
+    const auto& job = *it->step_run->job;
     if (it->phase == UnitPhase::kDone) continue;
     const bool is_urgent = job.job->priority == kUrgentPriority;
     if (is_urgent && (!is_guaranteed || IsGuaranteed(job))) continue;
@@ -359,8 +369,8 @@
   }
   std::sort(out.begin(), out.end(), [](const Victim& a, const Victim& b) {
     const auto key = [](const Victim& it) {
-      const std::string_view name = it.unit->step->job->job->name.str();
-      return std::tuple(it.cost, name, it.unit->step->number,
+      const std::string_view name = it.unit->step_run->job->job->name.str();
+      return std::tuple(it.cost, name, it.unit->step_run->number,
                         it.unit->first_index);
     };
     return key(a) < key(b);
@@ -369,60 +379,59 @@
 }
 
 /// Made when the first unit of the round asks for it.
-ReclaimBoard& TaskPlanner::Board(bool is_guaranteed, base::TimePoint now) {
+ReclaimCandidates& TaskPlanner::Board(bool is_guaranteed, base::TimePoint now) {
   auto& out = is_guaranteed ? boards_.guaranteed : boards_.not_guaranteed;
-  if (!out) out.emplace(*open_, Victims(is_guaranteed, now));
+  if (!out) out.emplace(*workers_, Victims(is_guaranteed, now));
   return *out;
 }
 
-/// Finds the places for `unit` that cost least, on one rack if it wants one,
+/// Finds the placement for `unit` that cost least, on one rack if it wants one,
 /// stops what is in the way and reserves them.
 bool TaskPlanner::TryReclaim(Unit& unit, bool is_guaranteed,
                              base::TimePoint now, PlannerDecisions& out) {
   const bool is_too_soon =
       unit.reclaim_failed_at != base::TimePoint{} &&
-      now - unit.reclaim_failed_at < options_.reclaim_again;
+      now - unit.reclaim_failed_at < options_.reclaim_retry_interval;
   if (is_too_soon) return false;
-  const auto& step = *unit.step->step;
-  const bool accepts_slow =
+  const auto& step = *unit.step_run->step;
+  const bool allows_other_racks =
       (is_guaranteed &&
-       now - unit.waiting_since >= options_.guaranteed_slow_after) ||
-      !CouldFit(*unit.step, now);
+       now - unit.waiting_since >= options_.guaranteed_rack_wait) ||
+      !CouldFit(*unit.step_run, now);
   const auto& board = Board(is_guaranteed, now);
   std::optional<ReclaimPlan> best;
   if (!step.preferred_rack.empty()) {
-    best = board.FindOn(*unit.step, step.preferred_rack);
+    best = board.FindOnRack(*unit.step_run, step.preferred_rack);
   } else if (step.is_gang && step.prefers_single_rack) {
-    best = board.FindOnOneRack(*unit.step);
+    best = board.FindOnOneRack(*unit.step_run);
   } else {
-    best = board.FindAnywhere(*unit.step);
+    best = board.FindAnywhere(*unit.step_run);
   }
-  if (!best && accepts_slow && HasSlowPlaces(step)) {
-    best = board.FindAnywhere(*unit.step);
+  if (!best && allows_other_racks && PrefersRack(step)) {
+    best = board.FindAnywhere(*unit.step_run);
   }
-  if (!best || ThrowsAwayTooMuch(*best, unit, is_guaranteed, now)) {
+  if (!best || WastesTooMuch(*best, unit, is_guaranteed, now)) {
     unit.reclaim_failed_at = now;
     return false;
   }
   for (auto* it : best->victims) {
     if (it->is_stopping) continue;
-    out.preempted.push_back({it, &unit, is_guaranteed, LostBy(*it, now)});
-    book_.Stop(*it);
+    out.preemptions.push_back({it, &unit, is_guaranteed, LostBy(*it, now)});
+    tracker_.Stop(*it);
   }
   for (auto* it : {&boards_.guaranteed, &boards_.not_guaranteed}) {
-    if (*it) (*it)->NoteStopped(*best);
+    if (*it) (*it)->MarkStopped(*best);
   }
-  book_.SetReservation(unit, best->places);
+  tracker_.SetReservation(unit, best->placement);
   return true;
 }
 
-bool TaskPlanner::ThrowsAwayTooMuch(const ReclaimPlan& plan, const Unit& unit,
-                                    bool is_guaranteed,
-                                    base::TimePoint now) const {
+bool TaskPlanner::WastesTooMuch(const ReclaimPlan& plan, const Unit& unit,
+                                bool is_guaranteed, base::TimePoint now) const {
   if (is_guaranteed) return false;
   double waste = 0;
   for (const auto* it : plan.victims) waste += LostBy(*it, now);
-  return waste > options_.most_waste * WorkOf(*unit.step);
+  return waste > options_.max_waste_factor * WorkOf(*unit.step_run);
 }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/waiting_counter.cc
+++ b/src/dispatch/waiting_count_writer.cc
@@ -1,4 +1,4 @@
-#include "dispatch/internal/waiting_counter.h"
+#include "dispatch/internal/waiting_count_writer.h"
 
 #include <utility>
 
@@ -17,18 +17,18 @@
 
 }  // namespace
 
-class WaitingCounter::Impl : public std::enable_shared_from_this<Impl> {
+class WaitingCountWriter::Impl : public std::enable_shared_from_this<Impl> {
  public:
   Impl(base::EventLoop& loop, store::RowStore& store, std::string part,
-       RowVersion fence, const JobBook& book)
+       RowVersion fence, const JobTracker& tracker)
       : loop_(loop),
         store_(store),
         part_(std::move(part)),
         fence_(fence),
-        book_(book) {}
+        tracker_(tracker) {}
 
   void Tick() {
-    const auto counts = jobs::EncodeWaitingCounts(book_.CountWaiting());
+    const auto counts = jobs::EncodeWaitingCounts(tracker_.CountWaitingJobs());
     if (counts == written_) return Again();
     const std::string table(jobs::kWaitingCountsTable);
     const std::string key(jobs::kWaitingCountsKey);
@@ -69,19 +69,20 @@
   store::RowStore& store_;
   const std::string part_;
   const RowVersion fence_;
-  const JobBook& book_;
+  const JobTracker& tracker_;
   std::string written_;
   RowVersion version_ = store::kAbsent;
 };
 
-WaitingCounter::WaitingCounter(base::EventLoop& loop, store::RowStore& store,
-                               std::string part, RowVersion fence,
-                               const JobBook& book)
-    : impl_(std::make_shared<Impl>(loop, store, std::move(part), fence, book)) {
-}
+WaitingCountWriter::WaitingCountWriter(base::EventLoop& loop,
+                                       store::RowStore& store, std::string part,
+                                       RowVersion fence,
+                                       const JobTracker& tracker)
+    : impl_(std::make_shared<Impl>(loop, store, std::move(part), fence,
+                                   tracker)) {}
 
-WaitingCounter::~WaitingCounter() = default;
+WaitingCountWriter::~WaitingCountWriter() = default;
 
-void WaitingCounter::Start() { impl_->Tick(); }
+void WaitingCountWriter::Start() { impl_->Tick(); }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/worker_health.cc
+++ b/src/dispatch/worker_health.cc
@@ -15,8 +15,8 @@
   auto& record = records_[worker];
   ++record.failures;
   record.jobs.insert(job);
-  const bool is_bad = record.failures >= options_.failures &&
-                      record.jobs.size() >= options_.jobs;
+  const bool is_bad = record.failures >= options_.min_failures &&
+                      record.jobs.size() >= options_.min_jobs;
   if (!is_bad) return false;
   records_.erase(worker);
   return quarantine_.Add(worker, fleet_size, now);
@@ -25,10 +25,10 @@
 bool WorkerHealth::IsSuspect(const base::WorkerName& worker,
                              base::TimePoint now) const {
   const auto it = failed_at_.find(worker);
-  return it != failed_at_.end() && now - it->second < options_.suspect_for;
+  return it != failed_at_.end() && now - it->second < options_.suspect_duration;
 }
 
-void WorkerHealth::Forget(const base::WorkerName& worker) {
+void WorkerHealth::Remove(const base::WorkerName& worker) {
   records_.erase(worker);
   failed_at_.erase(worker);
   quarantine_.Remove(worker);
--- a/test/dispatch/bounds_test.cc
+++ b/test/dispatch/bounds_test.cc
@@ -31,13 +31,13 @@
       bounds.stop_timeout = Duration(stop);
       bounds.guaranteed_start = Duration(start);
       const auto planner = internal::PlannerOptionsFor(bounds);
-      CHECK(planner.preempted_within > bounds.stop_timeout);
-      CHECK(planner.guaranteed_slow_after >= Duration(0));
+      CHECK(planner.max_preemption_time > bounds.stop_timeout);
+      CHECK(planner.guaranteed_rack_wait >= Duration(0));
       // A preemption after the wait is over still ends in time, if any could.
       const bool is_possible =
-          planner.preempted_within < bounds.guaranteed_start;
+          planner.max_preemption_time < bounds.guaranteed_start;
       if (!is_possible) continue;
-      CHECK(planner.guaranteed_slow_after + planner.preempted_within <
+      CHECK(planner.guaranteed_rack_wait + planner.max_preemption_time <
             bounds.guaranteed_start);
     }
   }
--- a/test/dispatch/crash_policy_test.cc
+++ b/test/dispatch/crash_policy_test.cc
@@ -14,10 +14,10 @@
 constexpr TimePoint kNow{Duration(100'000)};
 
 TEST_CASE("only an otherwise unexplained crash raises the suspicion") {
-  CHECK(SuspicionOf(WorkerLossReason::kOtherLife, false, true) == 2);
-  CHECK(SuspicionOf(WorkerLossReason::kOtherLife, false, false) == 1);
-  CHECK(SuspicionOf(WorkerLossReason::kOtherLife, true, true) == 0);
-  CHECK(SuspicionOf(WorkerLossReason::kLapsed, false, true) == 0);
+  CHECK(SuspicionOf(WorkerLossReason::kRestarted, false, true) == 2);
+  CHECK(SuspicionOf(WorkerLossReason::kRestarted, false, false) == 1);
+  CHECK(SuspicionOf(WorkerLossReason::kRestarted, true, true) == 0);
+  CHECK(SuspicionOf(WorkerLossReason::kLeaseExpired, false, true) == 0);
   CHECK(SuspicionOf(WorkerLossReason::kUnregistered, false, true) == 0);
 }
 
--- a/test/dispatch/job_book_test.cc
+++ b/test/dispatch/job_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "dispatch/internal/job_book.h"
+#include "dispatch/internal/job_tracker.h"
 
 #include <catch2/catch.hpp>
 
@@ -20,27 +20,28 @@
   return out;
 }
 
-/// What a next owner reads of a book's job.
-jobs::JobProgress Reread(const JobBook& book, const JobEntry& job) {
-  const auto out = jobs::DecodeProgress(EncodeProgress(book.ProgressOf(job)));
+/// What a next owner reads of a tracker's job.
+jobs::JobProgress Reread(const JobTracker& tracker, const JobEntry& job) {
+  const auto out =
+      jobs::DecodeProgress(EncodeProgress(tracker.ProgressOf(job)));
   REQUIRE(out);
   return *out;
 }
 
 TEST_CASE("a failed end that is listed to two owners counts once") {
   Fleet fleet;
-  JobBook book(fleet);
+  JobTracker tracker(fleet);
   const auto gang = Shared(GangOf(2));
-  auto* job = book.Add(gang, nullptr, 0, base::Duration(0), kNow);
+  auto* job = tracker.Add(gang, nullptr, 0, base::Duration(0), kNow);
   auto& unit = job->runs[0][0].units[0];
-  book.Plan(unit, {base::WorkerName("w0"), base::WorkerName("w1")}, kNow);
-  book.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
+  tracker.Plan(unit, {base::WorkerName("w0"), base::WorkerName("w1")}, kNow);
+  tracker.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
   CHECK(unit.failures == 1);
 
   // The record stands, the acknowledgement was not sent, the owner is gone.
-  const auto progress = Reread(book, *job);
+  const auto progress = Reread(tracker, *job);
   Fleet next_fleet;
-  JobBook next(next_fleet);
+  JobTracker next(next_fleet);
   auto* again = next.Add(gang, &progress, 7, base::Duration(0), kNow);
   auto& restored = again->runs[0][0].units[0];
   next.OnEnded(restored, 0, EndKind::kFailed, "", kNow);
@@ -51,49 +52,50 @@
 
 TEST_CASE("each failed run counts, and the last allowed one ends the job") {
   Fleet fleet;
-  JobBook book(fleet);
-  auto* job = book.Add(Shared(GangOf(1)), nullptr, 0, base::Duration(0), kNow);
+  JobTracker tracker(fleet);
+  auto* job =
+      tracker.Add(Shared(GangOf(1)), nullptr, 0, base::Duration(0), kNow);
   auto& unit = job->runs[0][0].units[0];
-  book.Plan(unit, {base::WorkerName("w0")}, kNow);
-  book.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
+  tracker.Plan(unit, {base::WorkerName("w0")}, kNow);
+  tracker.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
   CHECK(job->state == jobs::JobState::kRunning);
-  book.Plan(unit, {base::WorkerName("w0")}, kNow);
-  book.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
+  tracker.Plan(unit, {base::WorkerName("w0")}, kNow);
+  tracker.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
   CHECK(job->state == jobs::JobState::kFailed);
   CHECK(unit.last_run == 2);
 }
 
 TEST_CASE("progress survives being written and read") {
   Fleet fleet;
-  JobBook book(fleet);
+  JobTracker tracker(fleet);
   const auto shared = Shared(OwnerWorld::MakeJob("map", 3, 1));
-  auto* job = book.Add(shared, nullptr, 0, base::Duration(0), kNow);
+  auto* job = tracker.Add(shared, nullptr, 0, base::Duration(0), kNow);
   auto& units = job->runs[0][0].units;
-  book.Plan(units[0], {base::WorkerName("w0")}, kNow);
-  book.OnEnded(units[0], 0, EndKind::kDone, "", kNow);
-  book.Plan(units[1], {base::WorkerName("w1")}, kNow);
-  JobBook::OnCheckpoint(units[1], "half", kNow);
-  const auto progress = book.ProgressOf(*job);
-  CHECK(Reread(book, *job) == progress);
+  tracker.Plan(units[0], {base::WorkerName("w0")}, kNow);
+  tracker.OnEnded(units[0], 0, EndKind::kDone, "", kNow);
+  tracker.Plan(units[1], {base::WorkerName("w1")}, kNow);
+  JobTracker::OnCheckpoint(units[1], "half", kNow);
+  const auto progress = tracker.ProgressOf(*job);
+  CHECK(Reread(tracker, *job) == progress);
   CHECK(progress.units.size() == 2);
   CHECK(progress.units[1].checkpoint == "half");
 }
 
 TEST_CASE("occurrences begin at their times and the job ends with the last") {
   Fleet fleet;
-  JobBook book(fleet);
+  JobTracker tracker(fleet);
   auto timed = OwnerWorld::MakeJob("timed", 1, 1);
   timed.schedule = {2, 5'000, 1'000};
-  auto* job = book.Add(Shared(timed), nullptr, 0, base::Duration(0), kNow);
-  CHECK(book.ready().empty());
-  book.BeginDue(5'000, kNow);
-  CHECK(book.ready().size() == 1);
-  book.BeginDue(6'500, kNow);
-  CHECK(book.ready().size() == 2);
+  auto* job = tracker.Add(Shared(timed), nullptr, 0, base::Duration(0), kNow);
+  CHECK(tracker.ready().empty());
+  tracker.ActivateDueOccurrences(5'000, kNow);
+  CHECK(tracker.ready().size() == 1);
+  tracker.ActivateDueOccurrences(6'500, kNow);
+  CHECK(tracker.ready().size() == 2);
   for (auto& runs : job->runs) {
     CHECK(job->state != jobs::JobState::kCompleted);
-    book.Plan(runs[0].units[0], {base::WorkerName("w0")}, kNow);
-    book.OnEnded(runs[0].units[0], 0, EndKind::kDone, "", kNow);
+    tracker.Plan(runs[0].units[0], {base::WorkerName("w0")}, kNow);
+    tracker.OnEnded(runs[0].units[0], 0, EndKind::kDone, "", kNow);
   }
   CHECK(job->state == jobs::JobState::kCompleted);
 }
--- a/test/dispatch/task_planner_test.cc
+++ b/test/dispatch/task_planner_test.cc
@@ -21,8 +21,8 @@
 /// Four workers of eight accelerators on two racks, and jobs on them.
 struct Place {
   Fleet fleet;
-  JobBook book{fleet};
-  TaskPlanner planner{book, fleet, {}};
+  JobTracker tracker{fleet};
+  TaskPlanner planner{tracker, fleet, {}};
   base::TimePoint now{Duration(100'000)};
 
   Place() {
@@ -36,11 +36,11 @@
   }
 
   void OpenAll() {
-    for (auto& [name, worker] : fleet.workers()) worker.is_open = true;
+    for (auto& [name, worker] : fleet.workers()) worker.is_schedulable = true;
   }
 
   void Fill(const char* worker, std::int64_t accelerators = 8) {
-    fleet.Take(base::WorkerName(worker), {64'000, 1'000, accelerators});
+    fleet.Allocate(base::WorkerName(worker), {64'000, 1'000, accelerators});
   }
 
   /// A gang of two whole workers that wants one rack.
@@ -61,8 +61,8 @@
     // Time to spare for urgent jobs, so that they may preempt others.
     if (priority == 0) job.slack_factor = 3;
     job.steps.push_back(step);
-    return *book.Add(std::make_shared<const jobs::Job>(job), nullptr,
-                     store::kAbsent, age, now);
+    return *tracker.Add(std::make_shared<const jobs::Job>(job), nullptr,
+                        store::kAbsent, age, now);
   }
 };
 
@@ -113,13 +113,13 @@
   REQUIRE(place.planner.Decide(place.now).starts.size() == 1);
   place.Fill("b0", 1);
   auto& gang = place.AddRackGang("gang");
-  CHECK(place.planner.Decide(place.now).preempted.empty());
+  CHECK(place.planner.Decide(place.now).preemptions.empty());
   place.now += Duration(1'500);
   // What fills b0 is not known to be stoppable; the small task on a0 is.
   const auto decisions = place.planner.Decide(place.now);
-  REQUIRE(decisions.preempted.size() == 1);
-  CHECK(decisions.preempted[0].by == &gang);
-  CHECK(decisions.preempted[0].unit == &small.runs[0][0].units[0]);
+  REQUIRE(decisions.preemptions.size() == 1);
+  CHECK(decisions.preemptions[0].beneficiary == &gang);
+  CHECK(decisions.preemptions[0].unit == &small.runs[0][0].units[0]);
 }
 
 TEST_CASE(
@@ -139,8 +139,8 @@
 TEST_CASE("a gang that fits on no rack is spread at once") {
   Place place;
   place.OpenAll();
-  place.fleet.Find(base::WorkerName("a0"))->is_open = false;
-  place.fleet.Find(base::WorkerName("b0"))->is_open = false;
+  place.fleet.Find(base::WorkerName("a0"))->is_schedulable = false;
+  place.fleet.Find(base::WorkerName("b0"))->is_schedulable = false;
   place.AddRackGang("gang");
   CHECK(place.planner.Decide(place.now).starts.size() == 1);
 }
@@ -173,7 +173,7 @@
   auto& unit = job.runs.front().front().units.front();
   REQUIRE(place.planner.Decide(place.now).starts.size() == 1);
   const auto first = unit.members.front().worker;
-  place.book.OnEnded(unit, 0, EndKind::kFailed, "", place.now);
+  place.tracker.OnEnded(unit, 0, EndKind::kFailed, "", place.now);
   // It failed on one worker; all others but one have failed another task.
   for (auto& [name, worker] : place.fleet.workers()) {
     worker.is_suspect = name.str() != "b1";
@@ -190,11 +190,11 @@
   REQUIRE(place.planner.Decide(place.now).starts.size() == 4);
   for (auto& [name, worker] : place.fleet.workers()) worker.is_suspect = true;
   place.Add("urgent", 0, 3, WholeWorkers(1));
-  CHECK(place.planner.Decide(place.now).preempted.empty());
+  CHECK(place.planner.Decide(place.now).preemptions.empty());
   place.fleet.Find(base::WorkerName("b0"))->is_suspect = false;
   // What was not found is looked for again after a short time.
   place.now += Duration(100);
-  CHECK(place.planner.Decide(place.now).preempted.size() == 1);
+  CHECK(place.planner.Decide(place.now).preemptions.size() == 1);
 }
 
 TEST_CASE("a unit takes room that is free before its reserved place is") {
@@ -204,14 +204,15 @@
   CHECK(place.planner.Decide(place.now).starts.size() == 4);
   place.now += Duration(100);
   auto& urgent = place.Add("urgent", 0, 3, WholeWorkers(1));
-  CHECK(place.planner.Decide(place.now).preempted.size() == 1);
+  CHECK(place.planner.Decide(place.now).preemptions.size() == 1);
   auto& unit = urgent.runs.front().front().units.front();
   REQUIRE(unit.reserved.size() == 1);
   // Another task ends while the preempted one is still being stopped.
-  auto& quiet = place.book.Find(base::JobName("quiet"))->runs.front().front();
+  auto& quiet =
+      place.tracker.Find(base::JobName("quiet"))->runs.front().front();
   for (auto& it : quiet.units) {
     if (it.is_stopping) continue;
-    place.book.OnEnded(it, it.first_index, EndKind::kDone, "", place.now);
+    place.tracker.OnEnded(it, it.first_index, EndKind::kDone, "", place.now);
     break;
   }
   place.now += Duration(100);
@@ -231,11 +232,11 @@
   place.Add("urgent", 0, 1, WholeWorkers(1));
   const auto decisions = place.planner.Decide(place.now);
   CHECK(decisions.starts.empty());
-  REQUIRE(decisions.preempted.size() == 1);
-  CHECK(decisions.preempted[0].unit == &quiet);
-  CHECK_FALSE(decisions.preempted[0].is_guaranteed);
+  REQUIRE(decisions.preemptions.size() == 1);
+  CHECK(decisions.preemptions[0].unit == &quiet);
+  CHECK_FALSE(decisions.preemptions[0].is_guaranteed);
   // Two tasks of 9 cores (8 for the accelerators each) for half a second.
-  CHECK(decisions.preempted[0].lost == Approx(65.0));
+  CHECK(decisions.preemptions[0].lost_core_seconds == Approx(65.0));
   CHECK(quiet.is_stopping);
 }
 
@@ -254,14 +255,14 @@
   const auto first = place.planner.Decide(place.now, kMost);
   // A quarter is left for urgent work.
   CHECK(first.starts.size() == 6);
-  CHECK(first.is_limited);
+  CHECK(first.reached_start_limit);
   place.Add("urgent", 0, 2, SmallTasks(20));
   const auto second = place.planner.Decide(place.now, kMost);
   CHECK(second.starts.size() == 8);
   for (const auto* it : second.starts) {
-    CHECK(it->step->job->job->priority == 0);
+    CHECK(it->step_run->job->job->priority == 0);
   }
-  CHECK_FALSE(place.planner.Decide(place.now).is_limited);
+  CHECK_FALSE(place.planner.Decide(place.now).reached_start_limit);
 }
 
 TEST_CASE("a gang starts whole when it passes what is asked for") {
@@ -274,7 +275,7 @@
   const auto decisions = place.planner.Decide(place.now, 1);
   REQUIRE(decisions.starts.size() == 1);
   CHECK(decisions.starts.front()->members.size() == 3);
-  CHECK(decisions.is_limited);
+  CHECK(decisions.reached_start_limit);
   CHECK(place.planner.Decide(place.now, 0).starts.empty());
 }
 
@@ -288,9 +289,9 @@
   place.Add("first", 0, 3, SmallTasks(1));
   place.Add("second", 0, 3, SmallTasks(1));
   const auto decisions = place.planner.Decide(place.now);
-  CHECK(decisions.preempted.size() == 2);
+  CHECK(decisions.preemptions.size() == 2);
   std::set<const Unit*> stopped;
-  for (const auto& it : decisions.preempted) stopped.insert(it.unit);
+  for (const auto& it : decisions.preemptions) stopped.insert(it.unit);
   CHECK(stopped.size() == 2);
 }
 
--- a/test/dispatch/worker_drain_test.cc
+++ b/test/dispatch/worker_drain_test.cc
@@ -18,15 +18,15 @@
   OneTask() {
     step.run_time_estimate = Duration(4'000);
     run.step = &step;
-    unit.step = &run;
-    unit.started = kStart;
+    unit.step_run = &run;
+    unit.started_at = kStart;
     unit.members.push_back({base::WorkerName("w")});
   }
 
   Member& member() { return unit.members.front(); }
 
   Duration LeftAfter(int ms) {
-    return WorkLeft(unit, member(), kStart + Duration(ms));
+    return RemainingWork(unit, member(), kStart + Duration(ms));
   }
 };
 
@@ -39,9 +39,9 @@
 TEST_CASE("progress tells more of the work that is left than the estimate") {
   OneTask it;
   it.member().first_percent = 50;
-  it.member().first_seen = kStart + Duration(500);
+  it.member().first_seen_at = kStart + Duration(500);
   it.member().percent = 60;
-  it.member().last_progress = kStart + Duration(1'500);
+  it.member().last_progress_at = kStart + Duration(1'500);
   // A tenth a second: 40 more take 4 s, half a second of which has passed.
   CHECK(it.LeftAfter(2'000) == Duration(3'500));
 }
@@ -49,9 +49,9 @@
 TEST_CASE("a first look takes its share of the estimate") {
   OneTask it;
   it.member().first_percent = 25;
-  it.member().first_seen = kStart + Duration(800);
+  it.member().first_seen_at = kStart + Duration(800);
   it.member().percent = 25;
-  it.member().last_progress = it.member().first_seen;
+  it.member().last_progress_at = it.member().first_seen_at;
   CHECK(it.LeftAfter(800) == Duration(3'000));
 }
 
--- a/test/dispatch/worker_health_test.cc
+++ b/test/dispatch/worker_health_test.cc
@@ -9,55 +9,55 @@
 constexpr base::TimePoint kNow{base::Duration(1'000)};
 const base::WorkerName kWorker("w0");
 
-bool Fail(WorkerHealth& conduct, const std::string& job) {
-  return conduct.OnEnded(kWorker, base::JobName(job), EndKind::kFailed, kFleet,
-                         kNow);
+bool Fail(WorkerHealth& health, const std::string& job) {
+  return health.OnEnded(kWorker, base::JobName(job), EndKind::kFailed, kFleet,
+                        kNow);
 }
 
 TEST_CASE("failures of several jobs in a row put a worker out for a time") {
-  WorkerHealth conduct({});
-  CHECK_FALSE(Fail(conduct, "a"));
-  CHECK_FALSE(Fail(conduct, "b"));
-  CHECK(Fail(conduct, "a"));
-  CHECK(conduct.IsOut(kWorker));
-  conduct.Release(kNow + base::Duration(4'100));
-  CHECK_FALSE(conduct.IsOut(kWorker));
+  WorkerHealth health({});
+  CHECK_FALSE(Fail(health, "a"));
+  CHECK_FALSE(Fail(health, "b"));
+  CHECK(Fail(health, "a"));
+  CHECK(health.IsQuarantined(kWorker));
+  health.ReleaseExpired(kNow + base::Duration(4'100));
+  CHECK_FALSE(health.IsQuarantined(kWorker));
 }
 
 TEST_CASE("one job that always fails puts no worker out") {
-  WorkerHealth conduct({});
-  for (int i = 0; i < 10; ++i) CHECK_FALSE(Fail(conduct, "poison"));
+  WorkerHealth health({});
+  for (int i = 0; i < 10; ++i) CHECK_FALSE(Fail(health, "poison"));
 }
 
 TEST_CASE("a task that ends well clears a worker's failures") {
-  WorkerHealth conduct({});
-  Fail(conduct, "a");
-  Fail(conduct, "b");
-  conduct.OnEnded(kWorker, base::JobName("c"), EndKind::kDone, kFleet, kNow);
-  CHECK_FALSE(Fail(conduct, "d"));
-  CHECK_FALSE(conduct.IsOut(kWorker));
+  WorkerHealth health({});
+  Fail(health, "a");
+  Fail(health, "b");
+  health.OnEnded(kWorker, base::JobName("c"), EndKind::kDone, kFleet, kNow);
+  CHECK_FALSE(Fail(health, "d"));
+  CHECK_FALSE(health.IsQuarantined(kWorker));
 }
 
 TEST_CASE(
     "one failure makes a worker suspect for a time, or until a good end") {
-  WorkerHealth conduct({});
-  CHECK_FALSE(conduct.IsSuspect(kWorker, kNow));
-  Fail(conduct, "a");
-  CHECK(conduct.IsSuspect(kWorker, kNow));
-  CHECK(conduct.IsSuspect(kWorker, kNow + base::Duration(7'900)));
-  CHECK_FALSE(conduct.IsSuspect(kWorker, kNow + base::Duration(8'000)));
-  conduct.OnEnded(kWorker, base::JobName("b"), EndKind::kStopped, kFleet, kNow);
-  CHECK(conduct.IsSuspect(kWorker, kNow));
-  conduct.OnEnded(kWorker, base::JobName("c"), EndKind::kDone, kFleet, kNow);
-  CHECK_FALSE(conduct.IsSuspect(kWorker, kNow));
+  WorkerHealth health({});
+  CHECK_FALSE(health.IsSuspect(kWorker, kNow));
+  Fail(health, "a");
+  CHECK(health.IsSuspect(kWorker, kNow));
+  CHECK(health.IsSuspect(kWorker, kNow + base::Duration(7'900)));
+  CHECK_FALSE(health.IsSuspect(kWorker, kNow + base::Duration(8'000)));
+  health.OnEnded(kWorker, base::JobName("b"), EndKind::kStopped, kFleet, kNow);
+  CHECK(health.IsSuspect(kWorker, kNow));
+  health.OnEnded(kWorker, base::JobName("c"), EndKind::kDone, kFleet, kNow);
+  CHECK_FALSE(health.IsSuspect(kWorker, kNow));
 }
 
 TEST_CASE("no more than a fifth of the workers are out at once") {
-  WorkerHealth conduct({});
+  WorkerHealth health({});
   int out = 0;
   for (int i = 0; i < static_cast<int>(kFleet); ++i) {
     const base::WorkerName name("w" + std::to_string(i));
-    if (conduct.PutOut(name, kFleet, kNow)) ++out;
+    if (health.Quarantine(name, kFleet, kNow)) ++out;
   }
   CHECK(out == 2);
 }
