--- a/src/dispatch/owned_service.cc
+++ b/src/dispatch/owned_service.cc
@@ -156,13 +156,13 @@
 
 void OwnedService::Tick() {
   if (is_loaded_) {
-    book_.BeginDue(ports_.unix_ms(), ports_.loop.Now());
+    book_.ActivateDueOccurrences(ports_.unix_ms(), ports_.loop.Now());
     HandleExpiredLeases();
     UpdateSilentDomains();
     StopStalledUnits();
     HandleEvacuationChanges();
     StopUnitsOnDrainingWorkers();
-    worker_health_.Release(ports_.loop.Now());
+    worker_health_.ReleaseExpired(ports_.loop.Now());
     RemoveExpiredJobs();
     ScheduleDecisionRound();
   }
@@ -183,8 +183,9 @@
     auto* job = book_.Find(name);
     const bool is_active =
         std::any_of(book_.active().begin(), book_.active().end(),
-                    [job](const Unit* it) { return it->step->job == job; });
-    const auto& recorder = *recorders_[static_cast<std::size_t>(job->part)];
+                    [job](const Unit* it) { return it->step_run->job == job; });
+    const auto& recorder =
+        *recorders_[static_cast<std::size_t>(job->partition)];
     if (is_active || !recorder.IsRecorded(name)) continue;
     RemoveJobRows(name);
     ended_at_.erase(name);
--- a/src/dispatch/owned_workers.cc
+++ b/src/dispatch/owned_workers.cc
@@ -68,15 +68,16 @@
 /// Stops the units that would be lost when a draining worker leaves.
 void OwnedService::StopUnitsOnDrainingWorkers() {
   const auto now = ports_.loop.Now();
-  for (auto* unit : FindDrained(book_, departures_, {}, now)) {
-    const auto task = JobBook::NameOf(*unit, 0);
-    base::Log(base::events::kUnitDrained,
-              {{"request", task.job},
-               {"task", TextOf(task)},
-               {"run", unit->last_run},
-               {"tasks", unit->members.size()},
-               {"left_ms", WorkLeft(*unit, unit->members.front(), now).count()},
-               {"saved", !unit->checkpoint.empty()}});
+  for (auto* unit : FindUnitsToDrain(book_, departures_, {}, now)) {
+    const auto task = JobTracker::NameOf(*unit, 0);
+    base::Log(
+        base::events::kUnitDrained,
+        {{"request", task.job},
+         {"task", TextOf(task)},
+         {"run", unit->last_run},
+         {"tasks", unit->members.size()},
+         {"left_ms", RemainingWork(*unit, unit->members.front(), now).count()},
+         {"saved", !unit->checkpoint.empty()}});
     book_.Stop(*unit);
   }
 }
@@ -96,7 +97,7 @@
   events.on_other_life = [weak, name] {
     const auto self = weak.lock();
     if (!self) return;
-    self->EndAllTasksOn(name, WorkerLossReason::kOtherLife);
+    self->EndAllTasksOn(name, WorkerLossReason::kRestarted);
     self->fleet_.Remove(name);
     self->departures_.erase(name);
     self->ports_.loop.Post([weak, name] {
@@ -139,7 +140,7 @@
   if (fleet_worker == nullptr) return false;
   auto remaining = fleet_worker->capacity;
   remaining -= fleet_worker->used;
-  remaining -= fleet_worker->strays;
+  remaining -= fleet_worker->stray_usage;
   return remaining.Covers({});
 }
 
@@ -214,9 +215,9 @@
     const bool is_available = worker.is_registered &&
                               !session.entry().is_draining &&
                               !IsInEvacuatedDomain(worker);
-    fleet_worker.is_open = is_reached && is_available &&
-                           worker.paused_until <= now &&
-                           !worker_health_.IsOut(name);
+    fleet_worker.is_schedulable = is_reached && is_available &&
+                                  worker.paused_until <= now &&
+                                  !worker_health_.IsQuarantined(name);
     const auto& address = session.entry().endpoint;
     fleet_worker.is_suspect = worker_health_.IsSuspect(name, now) ||
                               crash_history_.IsUnreliable(address, now);
@@ -236,11 +237,12 @@
       continue;
     }
     if (auto* stray_unit = book_.FindUnit(it.task)) {
-      strays += CountedNeeds(*stray_unit->step->step);
+      strays += ResourcesPerTask(*stray_unit->step_run->step);
     }
     SendStop(it.task, it.run, name);
   }
-  if (auto* fleet_worker = fleet_.Find(name)) fleet_worker->strays = strays;
+  if (auto* fleet_worker = fleet_.Find(name))
+    fleet_worker->stray_usage = strays;
   for (const auto& it : report.ended) OnTaskEnded(name, it);
   EndUnreportedTasks(name, report, sent);
   const auto last_end = worker->session->ends_received();
@@ -262,29 +264,29 @@
   if (unit == nullptr || unit->members.empty() || unit->last_run != run) {
     return nullptr;
   }
-  const auto& member = JobBook::MemberOf(*unit, task.index);
-  return member.state == MemberState::kOver ? nullptr : unit;
+  const auto& member = JobTracker::MemberOf(*unit, task.index);
+  return member.state == MemberState::kTerminated ? nullptr : unit;
 }
 
 void OwnedService::OnTaskRunning(const base::WorkerName& name,
                                  const RunningTask& task, TimePoint sent) {
   auto* unit = FindUnitOfRun(task.task, task.run);
-  auto& member = JobBook::MemberOf(*unit, task.task.index);
+  auto& member = JobTracker::MemberOf(*unit, task.task.index);
   if (member.worker != name) return;
-  JobBook::OnCheckpoint(*unit, task.checkpoint, sent);
+  JobTracker::OnCheckpoint(*unit, task.checkpoint, sent);
   const bool has_progress =
       task.percent != member.percent || member.state != MemberState::kRunning;
   if (has_progress) {
     member.percent = task.percent;
-    member.last_progress = ports_.loop.Now();
+    member.last_progress_at = ports_.loop.Now();
   }
-  if (member.first_seen == TimePoint{}) {
+  if (member.first_seen_at == TimePoint{}) {
     member.first_percent = task.percent;
-    member.first_seen = ports_.loop.Now();
+    member.first_seen_at = ports_.loop.Now();
   }
   if (member.state == MemberState::kRunning) return;
   member.state = MemberState::kRunning;
-  member.confirmed = sent;
+  member.confirmed_at = sent;
 }
 
 void OwnedService::OnTaskEnded(const base::WorkerName& name,
@@ -292,11 +294,11 @@
   auto* unit = FindUnitOfRun(end.task, end.run);
   const bool is_current_run =
       unit != nullptr &&
-      JobBook::MemberOf(*unit, end.task.index).worker == name;
+      JobTracker::MemberOf(*unit, end.task.index).worker == name;
   if (!is_current_run) {
     auto* known_unit = book_.FindUnit(end.task);
     if (known_unit == nullptr || end.kind != EndKind::kDone) return;
-    book_.OnEarlierDone(*known_unit, end.run, ports_.loop.Now());
+    book_.OnEarlierRunDone(*known_unit, end.run, ports_.loop.Now());
     return;
   }
   if (end.kind != EndKind::kDone) {
@@ -327,10 +329,10 @@
   for (const auto& it : book_.MembersOn(name)) {
     auto* unit = it.first;
     const int index = it.second;
-    auto& member = JobBook::MemberOf(*unit, index);
-    const jobs::TaskName task{unit->step->job->job->name,
-                              unit->step->occurrence, unit->step->number,
-                              index};
+    auto& member = JobTracker::MemberOf(*unit, index);
+    const jobs::TaskName task{unit->step_run->job->job->name,
+                              unit->step_run->occurrence,
+                              unit->step_run->number, index};
     const bool is_reported =
         std::any_of(report.running.begin(), report.running.end(),
                     [&task, run = unit->last_run](const RunningTask& running) {
@@ -338,12 +340,12 @@
                     });
     if (is_reported || member.state == MemberState::kPlanned) continue;
     const bool was_confirmed =
-        member.confirmed != TimePoint{} && member.confirmed < sent &&
+        member.confirmed_at != TimePoint{} && member.confirmed_at < sent &&
         (member.state == MemberState::kRunning || member.is_stop_confirmed);
     // The expiry of a start by a former owner is not known here and is 0. The
     // worker refuses such a start since it has seen this owner's epoch.
     const bool is_start_expired = member.state == MemberState::kUnconfirmed &&
-                                  report.clock > member.expires;
+                                  report.clock > member.start_expires_at;
     if (!was_confirmed && !is_start_expired) continue;
     base::Log(base::events::kTaskVanished, {{"request", task.job},
                                             {"task", TextOf(task)},
@@ -360,7 +362,7 @@
   const auto now = ports_.loop.Now();
   std::vector<Unit*> stalled_units;
   for (auto* unit : book_.active()) {
-    const auto& step = *unit->step->step;
+    const auto& step = *unit->step_run->step;
     if (unit->is_stopping || unit->phase == jobs::UnitPhase::kDone) continue;
     if (step.is_service) continue;
     const auto share = base::Duration(static_cast<std::int64_t>(
@@ -370,8 +372,8 @@
     std::set<base::WorkerName> stalled_workers;
     for (const auto& it : unit->members) {
       const bool is_stalled = it.state == MemberState::kRunning &&
-                              it.last_progress != TimePoint{} &&
-                              now - it.last_progress > stall_limit;
+                              it.last_progress_at != TimePoint{} &&
+                              now - it.last_progress_at > stall_limit;
       if (is_stalled) stalled_workers.insert(it.worker);
     }
     if (stalled_workers.empty()) continue;
@@ -379,21 +381,22 @@
     // not show which worker is at fault. Only workers that are already excluded
     // because of other tasks count.
     if (unit->members.size() == 1) {
-      worker_health_.PutOut(*stalled_workers.begin(), workers_.size(), now);
+      worker_health_.Quarantine(*stalled_workers.begin(), workers_.size(), now);
     }
-    std::erase_if(stalled_workers,
-                  [this](const auto& it) { return !worker_health_.IsOut(it); });
+    std::erase_if(stalled_workers, [this](const auto& it) {
+      return !worker_health_.IsQuarantined(it);
+    });
     if (stalled_workers.empty()) continue;
-    unit->failed_on = std::move(stalled_workers);
+    unit->failed_workers = std::move(stalled_workers);
     stalled_units.push_back(unit);
   }
   for (auto* unit : stalled_units) {
-    const auto task = JobBook::NameOf(*unit, 0);
+    const auto task = JobTracker::NameOf(*unit, 0);
     base::Log(base::events::kTaskStalled,
               {{"request", task.job},
                {"task", TextOf(task)},
                {"run", unit->last_run},
-               {"worker", *unit->failed_on.begin()}});
+               {"worker", *unit->failed_workers.begin()}});
     book_.Stop(*unit);
   }
 }
@@ -422,14 +425,14 @@
         it.is_heard() ? it.HasLapsed() : now - acquired_at_ > unanswered_expiry;
     if (!has_lapsed) continue;
     if (!book_.MembersOn(name).empty()) {
-      EndAllTasksOn(name, WorkerLossReason::kLapsed);
+      EndAllTasksOn(name, WorkerLossReason::kLeaseExpired);
     }
     if (!worker.is_registered) to_remove.push_back(name);
   }
   for (const auto& it : to_remove) {
     workers_.erase(it);
     departures_.erase(it);
-    worker_health_.Forget(it);
+    worker_health_.Remove(it);
     fleet_.Remove(it);
   }
   if (now - acquired_at_ <= unanswered_expiry) return;
@@ -438,7 +441,8 @@
   for (auto* unit : book_.active()) {
     for (std::size_t i = 0; i < unit->members.size(); ++i) {
       const auto& it = unit->members[i];
-      if (it.state == MemberState::kOver || workers_.contains(it.worker)) {
+      if (it.state == MemberState::kTerminated ||
+          workers_.contains(it.worker)) {
         continue;
       }
       lost[it.worker].emplace_back(unit,
