--- a/test/dispatch/owner_load_test.cc
+++ b/test/dispatch/owner_load_test.cc
@@ -7,52 +7,54 @@
 
 using jobs::JobState;
 
-/// The value of a counter or count in the world's metrics, 0 when it is absent.
-double MetricOf(OwnerWorld& world, const std::string& name) {
+/// Returns the value of a counter, or the count of a histogram, among the
+/// metrics of `world`; 0 when it is absent.
+double MetricValue(OwnerWorld& world, const std::string& name) {
   const auto text = world.metrics().Render();
   const auto at = text.find('\n' + name + ' ');
   if (at == std::string::npos) return 0;
   return std::stod(text.substr(at + name.size() + 2));
 }
 
-TEST_CASE("rounds of decisions keep a distance however much news comes") {
+TEST_CASE("decision rounds keep their minimum interval under frequent events") {
   OwnerWorld world(1, 8);
   world.RunFor(1'000);
-  const auto* rounds = "lapishatch_decision_seconds_count{service=\"survey\"}";
-  const auto before = MetricOf(world, rounds);
+  const auto* rounds_metric =
+      "lapishatch_decision_seconds_count{service=\"survey\"}";
+  const auto before = MetricValue(world, rounds_metric);
   constexpr int kJobs = 200;
   for (int i = 0; i < kJobs; ++i) {
     world.Submit(OwnerWorld::MakeJob("job" + std::to_string(i), 1, 1));
     world.RunFor(1);
   }
-  // Every 10 ms at most.
-  CHECK(MetricOf(world, rounds) - before <= 21);
+  // Rounds are at least 10 ms apart, and the jobs arrive within 200 ms.
+  CHECK(MetricValue(world, rounds_metric) - before <= 21);
 }
 
-TEST_CASE("ends of a wide job are recorded together") {
+TEST_CASE("task ends of a wide job are recorded in batches") {
   OwnerWorld world(1, 8);
   world.workers().run_time = [](const jobs::TaskName& task) {
-    constexpr int kApart = 20;
-    return base::Duration(1'000 + kApart * task.index);
+    constexpr int kEndIntervalMs = 20;
+    return base::Duration(1'000 + kEndIntervalMs * task.index);
   };
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("wide", 60, 1));
   world.RunFor(900);
   const int before = world.store().transactions();
   world.RunFor(1'300);
-  // 55 ends come 20 ms apart; each is recorded within 100 ms. Beside that the
-  // lease is renewed twice a second and the queue counted.
+  // 55 tasks end 20 ms apart, and each end is recorded within 100 ms. The other
+  // transactions renew the owner lease twice a second and count the queue.
   CHECK(world.store().transactions() - before <= 25);
   world.RunFor(1'500);
   CHECK(world.StateOf("wide") == JobState::kCompleted);
 }
 
-TEST_CASE("an owner with more to do than it manages recovers by itself") {
+TEST_CASE("an overloaded owner recovers without intervention") {
   constexpr int kWorkers = 48;
   OwnerWorld world(1, kWorkers);
   world.RunFor(1'000);
-  // The link carries 200 orders a second, a third of which are renewals; the
-  // first starts alone would take it two seconds.
+  // The link carries 200 orders per second, a third of which are lease
+  // renewals; sending the first starts alone would take two seconds.
   world.SetLinkTime("vm0", base::Duration(5));
   constexpr int kJobs = 60;
   constexpr int kTasks = 40;
@@ -66,11 +68,11 @@
   for (int i = 0; i < kJobs; ++i) {
     CHECK(world.StateOf("job" + std::to_string(i)) == JobState::kCompleted);
   }
-  CHECK(MetricOf(world, "lapishatch_task_ends_total{how=\"lapsed\"}") == 0);
+  CHECK(MetricValue(world, "lapishatch_task_ends_total{how=\"lapsed\"}") == 0);
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("a slow store accepts 30 jobs a second and keeps its owner") {
+TEST_CASE("a slow store accepts 30 jobs per second without a change of owner") {
   OwnerWorld world(2, 4);
   world.RunFor(1'000);
   const auto owner = world.OwnerName();
@@ -82,7 +84,8 @@
     world.RunFor(1'000 / 30);
   }
   world.RunFor(2'000);
-  // All but a few that three of a second share a part with.
+  // The store refuses a few submissions: those of a partition that receives
+  // three jobs within one second.
   CHECK(world.accepted() >= kJobs * 95 / 100);
   CHECK(world.OwnerName() == owner);
 }
--- a/test/dispatch/owner_test.cc
+++ b/test/dispatch/owner_test.cc
@@ -12,7 +12,7 @@
   return {base::JobName(job), 0, step, index};
 }
 
-TEST_CASE("a job's tasks run and the job is shown as completed") {
+TEST_CASE("a job whose tasks have run is reported as completed") {
   OwnerWorld world(2, 4);
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 5, 2));
@@ -25,7 +25,7 @@
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("an owner counts how tasks and jobs end") {
+TEST_CASE("an owner counts the ends of tasks and jobs by outcome") {
   OwnerWorld world(1, 2);
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 3, 1));
@@ -38,7 +38,7 @@
         std::string::npos);
 }
 
-TEST_CASE("each end of a job is counted once, whoever owns the service then") {
+TEST_CASE("each end of a job is counted once across a change of owner") {
   OwnerWorld world(2, 2);
   world.RunFor(1'000);
   constexpr int kJobs = 40;
@@ -56,7 +56,7 @@
                   std::to_string(kJobs) + '\n') != std::string::npos);
 }
 
-TEST_CASE("a step begins only after the steps that it waits for") {
+TEST_CASE("a step starts only after the steps that it depends on") {
   OwnerWorld world(1, 2);
   world.RunFor(1'000);
   auto job = OwnerWorld::MakeJob("map", 3, 1);
@@ -70,7 +70,7 @@
   CHECK(world.StateOf("map") == JobState::kCompleted);
 }
 
-TEST_CASE("a task that fails as often as allowed fails its job") {
+TEST_CASE("a task that uses up its attempts fails its job") {
   OwnerWorld world(1, 2);
   world.workers().outcome = [](const jobs::TaskName&, int) {
     return EndKind::kFailed;
@@ -82,7 +82,7 @@
   CHECK(world.workers().starts(TaskOf("poison", 0)) == 3);
 }
 
-TEST_CASE("a cancelled job's tasks are stopped and none starts") {
+TEST_CASE("running tasks of a cancelled job are stopped and no more start") {
   OwnerWorld world(1, 1);
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("map", 12, 1));
@@ -96,7 +96,7 @@
   CHECK(world.workers().starts(TaskOf("map", 11)) == 0);
 }
 
-TEST_CASE("a gang starts whole or not at all") {
+TEST_CASE("the tasks of a gang start all together or not at all") {
   OwnerWorld world(1, 2);
   world.RunFor(1'000);
   auto first = OwnerWorld::MakeJob("a", 12, 1);
@@ -113,7 +113,8 @@
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("after its owner was killed, work goes on within 2.5 seconds") {
+TEST_CASE(
+    "a new owner starts tasks within 2.5 seconds after the last was killed") {
   OwnerWorld world(3, 4);
   world.RunFor(1'000);
   world.workers().run_time = [](const jobs::TaskName&) {
@@ -131,75 +132,77 @@
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("an owner that stops hands its service over at once") {
+TEST_CASE("an owner that stops hands over its service immediately") {
   OwnerWorld world(3, 2);
   world.RunFor(1'000);
-  const auto former = world.OwnerName();
-  world.owner(former).Stop([] {});
+  const auto former_owner = world.OwnerName();
+  world.owner(former_owner).Stop([] {});
   world.RunFor(400);
-  CHECK(world.OwnerName() != former);
+  CHECK(world.OwnerName() != former_owner);
   CHECK_FALSE(world.OwnerName().empty());
 }
 
-TEST_CASE("an owner that stops amid a renewal hands its service over") {
-  // When the store is slow, a renewal is nearly always under way.
-  constexpr base::Duration kSlow{700};
-  for (const int moment : {0, 100, 200, 300, 400, 500, 600, 700, 800}) {
+TEST_CASE("an owner that stops during a lease renewal hands over its service") {
+  // With a slow store, a renewal is in progress nearly all the time.
+  constexpr base::Duration kSlowCommit{700};
+  for (const int stop_delay_ms : {0, 100, 200, 300, 400, 500, 600, 700, 800}) {
     OwnerWorld world(3, 2);
     world.RunFor(1'000);
-    world.store().commit_time = kSlow;
-    world.RunFor(1'000 + moment);
-    const auto former = world.OwnerName();
-    bool is_told = false;
-    world.owner(former).Stop([&is_told] { is_told = true; });
+    world.store().commit_time = kSlowCommit;
+    world.RunFor(1'000 + stop_delay_ms);
+    const auto former_owner = world.OwnerName();
+    bool is_released = false;
+    world.owner(former_owner).Stop([&is_released] { is_released = true; });
     world.RunFor(900);
-    CHECK(is_told);
-    world.KillOwner(former);
-    // The next one's own write takes as long.
+    CHECK(is_released);
+    world.KillOwner(former_owner);
+    // The successor's own write of the lease takes as long.
     world.RunFor(900);
     CHECK_FALSE(world.OwnerName().empty());
   }
 }
 
-TEST_CASE("a candidate that stops amid its take hands the service over") {
+TEST_CASE(
+    "a candidate that stops while taking the lease hands over the service") {
   OwnerWorld world(2, 2);
-  // The row is written, and its writer has not been answered yet.
+  // The lease row is written, but the candidate has not received the answer
+  // yet.
   while (world.store().ValueOf("owners", "survey", "lease").empty()) {
     world.RunFor(1);
   }
   REQUIRE(world.OwnerName().empty());
-  const auto holder = world.store().ValueOf("owners", "survey", "lease");
-  const auto taker = holder.substr(0, holder.find('/'));
-  bool is_told = false;
-  world.owner(taker).Stop([&is_told] { is_told = true; });
-  CHECK_FALSE(is_told);
+  const auto lease = world.store().ValueOf("owners", "survey", "lease");
+  const auto candidate = lease.substr(0, lease.find('/'));
+  bool is_released = false;
+  world.owner(candidate).Stop([&is_released] { is_released = true; });
+  CHECK_FALSE(is_released);
   world.RunFor(400);
-  CHECK(is_told);
+  CHECK(is_released);
   CHECK_FALSE(world.OwnerName().empty());
-  CHECK(world.OwnerName() != taker);
+  CHECK(world.OwnerName() != candidate);
 }
 
-TEST_CASE("an owner that stops goes on trying until the store has said so") {
+TEST_CASE("an owner that stops retries until the store confirms the release") {
   OwnerWorld world(2, 2);
   world.RunFor(1'000);
-  const auto former = world.OwnerName();
+  const auto former_owner = world.OwnerName();
   world.store().SetFaultForAll(StoreFault::kBusy);
-  bool is_told = false;
-  world.owner(former).Stop([&is_told] { is_told = true; });
+  bool is_released = false;
+  world.owner(former_owner).Stop([&is_released] { is_released = true; });
   world.RunFor(700);
-  CHECK_FALSE(is_told);
+  CHECK_FALSE(is_released);
   world.store().SetFaultForAll(StoreFault::kNone);
   world.RunFor(600);
-  CHECK(is_told);
-  // A feed that was under way is given up after 1.7 s, then read again.
+  CHECK(is_released);
+  // A feed read that was in progress times out after 1.7 s and is repeated.
   world.RunFor(1'500);
-  CHECK(world.OwnerName() != former);
+  CHECK(world.OwnerName() != former_owner);
   CHECK_FALSE(world.OwnerName().empty());
 }
 
-TEST_CASE("a store too slow to answer in time still gets an owner") {
-  // Each transaction is done and its answer comes too late, as with answers
-  // that take ninety times as long as usual.
+TEST_CASE("a service gets an owner although the store answers too late") {
+  // Each transaction is applied but its answer arrives too late, as when
+  // answers take ninety times as long as usual.
   OwnerWorld world(0, 2);
   world.store().SetFaultForTransactions(StoreFault::kAnswersLost);
   for (const auto* name : {"vm0", "vm1", "vm2"}) world.StartOwner(name);
@@ -207,29 +210,30 @@
   CHECK_FALSE(world.OwnerName().empty());
 }
 
-TEST_CASE("a strong VM owns the service before weak ones") {
+TEST_CASE("a VM with more cores becomes the owner before VMs with fewer") {
   OwnerWorld world(0, 4);
-  constexpr double kWeak = 0.12;
-  constexpr double kStrong = 0.5;
+  constexpr double kWeakCores = 0.12;
+  constexpr double kStrongCores = 0.5;
   for (int i = 0; i < 8; ++i) {
-    world.StartOwner("weak" + std::to_string(i), kWeak);
+    world.StartOwner("weak" + std::to_string(i), kWeakCores);
   }
-  world.StartOwner("strong0", kStrong);
-  world.StartOwner("strong1", kStrong);
+  world.StartOwner("strong0", kStrongCores);
+  world.StartOwner("strong1", kStrongCores);
   world.RunFor(1'000);
-  const auto first = world.OwnerName();
-  CHECK(first.starts_with("strong"));
-  world.KillOwner(first);
+  const auto first_owner = world.OwnerName();
+  CHECK(first_owner.starts_with("strong"));
+  world.KillOwner(first_owner);
   world.RunFor(2'500);
-  const auto second = world.OwnerName();
-  CHECK(second.starts_with("strong"));
-  // Weak ones own it where nobody else can.
-  world.KillOwner(second);
+  const auto second_owner = world.OwnerName();
+  CHECK(second_owner.starts_with("strong"));
+  // A weak VM becomes the owner when no strong one is left.
+  world.KillOwner(second_owner);
   world.RunFor(2'900);
   CHECK(world.OwnerName().starts_with("weak"));
 }
 
-TEST_CASE("a VM that starts again takes what its former life owned at once") {
+TEST_CASE(
+    "an owner restarted on the same VM takes its service back immediately") {
   OwnerWorld world(1, 2);
   world.RunFor(1'000);
   world.workers().run_time = [](const jobs::TaskName&) {
@@ -248,11 +252,11 @@
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("an owner cut off from the store is replaced and starts nothing") {
+TEST_CASE("an owner cut off from the store is replaced and starts no task") {
   OwnerWorld world(3, 4);
   world.RunFor(1'000);
-  const auto former = world.OwnerName();
-  world.store().SetFault(former, StoreFault::kSilent);
+  const auto former_owner = world.OwnerName();
+  world.store().SetFault(former_owner, StoreFault::kSilent);
   world.RunFor(3'000);
   world.Submit(OwnerWorld::MakeJob("plan", 6, 1));
   world.RunFor(5'000);
@@ -260,8 +264,8 @@
   CHECK(world.workers().violations().empty());
 }
 
-/// Runs a job of four tasks of `task_ms` each through an outage of the store
-/// for all of `outage_ms`, and `after_ms` more.
+/// Runs a job of four tasks of `task_ms` each, makes the store unavailable to
+/// all processes for `outage_ms`, and then runs on for `after_ms`.
 void RunThroughOutage(OwnerWorld& world, int task_ms, int outage_ms,
                       int after_ms) {
   world.workers().run_time = [task_ms](const jobs::TaskName&) {
@@ -276,16 +280,16 @@
   world.RunFor(after_ms);
 }
 
-TEST_CASE("what runs outlives an outage of the store") {
+TEST_CASE("running tasks survive a store outage of seven seconds") {
   OwnerWorld world(3, 4);
   RunThroughOutage(world, 9'000, 7'000, 8'000);
   CHECK(world.StateOf("long") == JobState::kCompleted);
   CHECK(world.workers().starts(TaskOf("long", 0)) == 1);
 }
 
-TEST_CASE("what runs outlives an outage of nine seconds") {
+TEST_CASE("running tasks survive a store outage of nine seconds") {
   OwnerWorld world(2, 2);
-  // As MonitoredStore does.
+  // The timeout that MonitoredStore uses.
   world.store().commit_timeout = base::Duration(1'000);
   RunThroughOutage(world, 30'000, 9'000, 15'000);
   CHECK(world.workers().starts(TaskOf("long", 0)) == 1);
@@ -293,7 +297,7 @@
 }
 
 TEST_CASE(
-    "what was on a worker that left with its owner starts in 10 seconds") {
+    "a task of a worker lost together with the owner restarts in 10 seconds") {
   OwnerWorld world(2, 3);
   world.workers().run_time = [](const jobs::TaskName&) {
     return base::Duration(30'000);
@@ -303,9 +307,10 @@
   world.RunFor(1'000);
   const auto worker = world.workers().WhereRuns(TaskOf("map", 0));
   REQUIRE_FALSE(worker.empty());
-  // Its owner may be cut off and renew leases, for all that the next one knows.
-  const auto former = world.OwnerName();
-  world.store().SetFault(former, StoreFault::kSilent);
+  // The next owner cannot tell whether the former one is merely cut off from
+  // the store and still renews leases at the workers.
+  const auto former_owner = world.OwnerName();
+  world.store().SetFault(former_owner, StoreFault::kSilent);
   world.workers().Crash(worker);
   world.Unlist(worker);
   world.RunFor(2'500);
@@ -316,7 +321,7 @@
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("a start that is carried out late runs nothing twice") {
+TEST_CASE("a start that is carried out late runs no task twice") {
   OwnerWorld world(2, 3);
   world.RunFor(1'000);
   for (int i = 0; i < 3; ++i) {
@@ -329,7 +334,7 @@
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("tasks of a worker that crashed run elsewhere after its lease") {
+TEST_CASE("tasks of a crashed worker run elsewhere after its lease expires") {
   OwnerWorld world(2, 2);
   world.workers().run_time = [](const jobs::TaskName&) {
     return base::Duration(4'000);
@@ -337,15 +342,15 @@
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 10, 1));
   world.RunFor(1'000);
-  const auto lost = world.workers().WhereRuns(TaskOf("plan", 0));
-  world.workers().Crash(lost);
-  world.Unlist(lost);
+  const auto crashed_worker = world.workers().WhereRuns(TaskOf("plan", 0));
+  world.workers().Crash(crashed_worker);
+  world.Unlist(crashed_worker);
   world.RunFor(18'000);
   CHECK(world.StateOf("plan") == JobState::kCompleted);
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("what cannot end before its worker leaves moves at once") {
+TEST_CASE("a gang that cannot end before its worker leaves moves immediately") {
   OwnerWorld world(1, 2);
   world.workers().run_time = [](const jobs::TaskName&) {
     return base::Duration(4'000);
@@ -356,32 +361,32 @@
   gang.steps[0].run_time_estimate = base::Duration(4'000);
   world.Submit(gang);
   world.RunFor(500);
-  const auto leaving = world.workers().WhereRuns(TaskOf("gang", 0));
-  world.Drain(leaving, base::Duration(2'000));
+  const auto draining_worker = world.workers().WhereRuns(TaskOf("gang", 0));
+  world.Drain(draining_worker, base::Duration(2'000));
   world.RunFor(2'000);
-  CHECK(world.workers().WhereRuns(TaskOf("gang", 0)) != leaving);
-  world.workers().Crash(leaving);
-  world.Unlist(leaving);
-  // Lost with its worker, it would begin again 5.9 s later.
+  CHECK(world.workers().WhereRuns(TaskOf("gang", 0)) != draining_worker);
+  world.workers().Crash(draining_worker);
+  world.Unlist(draining_worker);
+  // If the gang were lost with its worker, it would restart 5.9 s later.
   world.RunFor(4'000);
   CHECK(world.StateOf("gang") == JobState::kCompleted);
   CHECK(world.workers().starts(TaskOf("gang", 0)) == 2);
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("what ends before its worker leaves stays there") {
+TEST_CASE("a task that can end before its worker leaves is not moved") {
   OwnerWorld world(1, 2);
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
   world.RunFor(500);
-  const auto leaving = world.workers().WhereRuns(TaskOf("plan", 0));
-  world.Drain(leaving, base::Duration(1'600));
+  const auto draining_worker = world.workers().WhereRuns(TaskOf("plan", 0));
+  world.Drain(draining_worker, base::Duration(1'600));
   world.RunFor(3'000);
   CHECK(world.StateOf("plan") == JobState::kCompleted);
   CHECK(world.workers().starts(TaskOf("plan", 0)) == 1);
 }
 
-TEST_CASE("a worker whose entry names another service gets nothing more") {
+TEST_CASE("a worker that moves to another service gets no more tasks") {
   OwnerWorld world(1, 1);
   world.RunFor(1'000);
   WorkerEntry entry;
@@ -393,9 +398,11 @@
   CHECK(world.workers().starts(TaskOf("plan", 0)) == 0);
 }
 
-TEST_CASE("a worker that is not registered yet counts what is recorded there") {
-  // All processes restart while a worker is missing from the list; when it is
-  // back, its size must not seem to have grown by what ran there.
+TEST_CASE(
+    "tasks recorded on an unregistered worker count against its capacity") {
+  // All processes restart while the registration of a worker is missing. When
+  // the worker is registered again, the end of the tasks that were recorded on
+  // it must not raise its free resources above its capacity.
   OwnerWorld world(1, 2);
   world.workers().run_time = [](const jobs::TaskName&) {
     return base::Duration(6'000);
@@ -410,7 +417,7 @@
   world.Unlist(OwnerWorld::WorkerCalled(0));
   world.StartOwner("vm1");
   world.RunFor(3'000);
-  // It is registered again, and what was recorded there ends.
+  // The worker is registered again, and the tasks recorded on it end.
   WorkerEntry entry;
   entry.name = OwnerWorld::WorkerCalled(0);
   entry.service = base::ServiceName(OwnerWorld::kService);
@@ -426,9 +433,9 @@
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("a worker that left does not keep its task for ever") {
-  // A silent worker was renewed with every call that had no answer, so that it
-  // never counted as lapsed.
+TEST_CASE("a task of a worker that left restarts elsewhere") {
+  // Guards against calls without an answer that renew the lease of a worker:
+  // the lease of a silent worker then never expires.
   OwnerWorld world(1, 2);
   world.workers().run_time = [](const jobs::TaskName&) {
     return base::Duration(3'000);
@@ -436,19 +443,20 @@
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
   world.RunFor(500);
-  const auto lost = world.workers().WhereRuns(TaskOf("plan", 0));
-  world.workers().Crash(lost);
-  world.Unlist(lost);
+  const auto crashed_worker = world.workers().WhereRuns(TaskOf("plan", 0));
+  world.workers().Crash(crashed_worker);
+  world.Unlist(crashed_worker);
   world.RunFor(12'000);
   CHECK(world.StateOf("plan") == JobState::kCompleted);
 }
 
-TEST_CASE("a good end behind a cut counts when it comes to light") {
+TEST_CASE(
+    "a success on a disconnected worker counts once it is reachable again") {
   OwnerWorld world(1, 2);
-  const auto first = TaskOf("plan", 0);
-  int runs = 0;
-  world.workers().run_time = [&runs](const jobs::TaskName& task) {
-    const bool is_second_run = task.index == 0 && ++runs > 1;
+  const auto first_task = TaskOf("plan", 0);
+  int first_task_runs = 0;
+  world.workers().run_time = [&first_task_runs](const jobs::TaskName& task) {
+    const bool is_second_run = task.index == 0 && ++first_task_runs > 1;
     return base::Duration(is_second_run ? 60'000 : 3'000);
   };
   world.RunFor(1'000);
@@ -457,17 +465,17 @@
   job.steps.back().depends_on = {0};
   world.Submit(job);
   world.RunFor(500);
-  const auto behind = world.workers().WhereRuns(first);
-  world.workers().Cut("", behind);
+  const auto cut_off_worker = world.workers().WhereRuns(first_task);
+  world.workers().Cut("", cut_off_worker);
   world.RunFor(9'000);
-  CHECK(world.workers().starts(first) == 2);
-  world.workers().Join("", behind);
+  CHECK(world.workers().starts(first_task) == 2);
+  world.workers().Join("", cut_off_worker);
   world.RunFor(2'000);
   CHECK(world.workers().starts(TaskOf("plan", 0, 1)) == 1);
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("urgent work that is guaranteed its place gets it from others") {
+TEST_CASE("an urgent job within its guarantee preempts other tasks") {
   OwnerWorld world(1, 2);
   world.SetGuarantee("crews", 8);
   world.workers().run_time = [](const jobs::TaskName& task) {
@@ -485,8 +493,9 @@
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("urgent work takes the place of others where little is thrown away") {
-  // No guarantee: the urgent job only can be in time this way.
+TEST_CASE(
+    "an urgent job without a guarantee preempts tasks that lose little work") {
+  // Without a guarantee, the urgent job can end in time only by preemption.
   OwnerWorld world(1, 2);
   world.workers().run_time = [](const jobs::TaskName& task) {
     return base::Duration(task.job.str() == "urgent" ? 1'000 : 60'000);
@@ -502,7 +511,8 @@
   CHECK(world.StateOf("urgent") == JobState::kCompleted);
 }
 
-TEST_CASE("urgent work does not throw away far more than it is") {
+TEST_CASE(
+    "an urgent job does not preempt tasks that would lose far more work") {
   OwnerWorld world(1, 1);
   world.workers().run_time = [](const jobs::TaskName& task) {
     return base::Duration(task.job.str() == "urgent" ? 100 : 20'000);
@@ -524,7 +534,7 @@
   CHECK(world.StateOf("urgent") == JobState::kCompleted);
 }
 
-TEST_CASE("work that can be in time goes before work that is too late") {
+TEST_CASE("a job that can end in time starts before one that is already late") {
   OwnerWorld world(1, 1);
   world.workers().run_time = [](const jobs::TaskName& task) {
     return base::Duration(task.job.str() == "first" ? 8'000 : 1'000);
@@ -546,7 +556,7 @@
   CHECK(world.StateOf("late") == JobState::kCompleted);
 }
 
-TEST_CASE("a worker that stands still for good does not keep its tasks") {
+TEST_CASE("a task on a permanently hung worker restarts elsewhere") {
   OwnerWorld world(1, 2);
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
@@ -557,7 +567,8 @@
   CHECK(world.workers().starts(TaskOf("plan", 0)) == 2);
 }
 
-TEST_CASE("a worker that fails all it starts does not use up the attempts") {
+TEST_CASE(
+    "a worker that fails every task does not use up the attempts of jobs") {
   OwnerWorld world(1, 4);
   world.RunFor(1'000);
   world.workers().FailAll(OwnerWorld::WorkerCalled(0), true);
@@ -571,7 +582,7 @@
   }
 }
 
-TEST_CASE("a feed whose history is gone misses no job") {
+TEST_CASE("a feed misses no job after the store has dropped its history") {
   OwnerWorld world(1, 2);
   world.RunFor(1'000);
   world.store().SetFaultForAll(StoreFault::kBusy);
@@ -584,7 +595,7 @@
   CHECK(world.StateOf("plan") == JobState::kCompleted);
 }
 
-TEST_CASE("nothing is left of a job long after its end") {
+TEST_CASE("all rows of a job are removed some time after its end") {
   OwnerWorld world(1, 4);
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 3, 1));
@@ -599,7 +610,7 @@
   CHECK(world.store().rows_in("progress") == 0);
 }
 
-TEST_CASE("a new owner removes the rest of a removal that stopped halfway") {
+TEST_CASE("a new owner completes a removal that stopped halfway") {
   OwnerWorld world(1, 4);
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
--- a/test/dispatch/task_crash_test.cc
+++ b/test/dispatch/task_crash_test.cc
@@ -9,8 +9,8 @@
 using base::Duration;
 using jobs::JobState;
 
-/// A world in which tasks of jobs named "crash..." crash their workers, and
-/// other tasks complete after 3 s.
+/// A simulated service in which tasks of jobs named "crash..." crash their
+/// workers, and other tasks complete after 3 s.
 struct CrashWorld : OwnerWorld {
   explicit CrashWorld(int owners = 1, int workers = 12,
                       Duration downtime = Duration(1'500),
@@ -18,7 +18,7 @@
       : OwnerWorld(owners, workers) {
     RestartCrashed(downtime, changes_address);
     this->workers().crash_after = [this](const jobs::TaskName& task) {
-      return Crashes(task) ? std::optional(crash_delay) : std::nullopt;
+      return CrashesWorker(task) ? std::optional(crash_delay) : std::nullopt;
     };
     this->workers().run_time = [](const jobs::TaskName& task) {
       return IsCrashJob(task.job) ? Duration(8'000) : Duration(3'000);
@@ -30,7 +30,7 @@
     return job.str().starts_with("crash");
   }
 
-  bool Crashes(const jobs::TaskName& task) const {
+  bool CrashesWorker(const jobs::TaskName& task) const {
     if (!IsCrashJob(task.job)) return false;
     return (crash_step < 0 || task.step == crash_step) &&
            (crash_index < 0 || task.index == crash_index) &&
@@ -42,25 +42,27 @@
             std::max(crash_step, 0), std::max(crash_index, 0)};
   }
 
-  void RunUntilCrash(const jobs::TaskName& task, int n) {
+  /// Runs until `task` has crashed its workers `n` times; fails the test if
+  /// that takes longer than 30 s of virtual time.
+  void RunUntilCrashes(const jobs::TaskName& task, int n) {
     for (int i = 0; i < 3'000 && workers().crashes(task) < n; ++i) RunFor(10);
     REQUIRE(workers().crashes(task) >= n);
   }
 
-  void SubmitSound(int n, int accelerators = 1) {
+  void SubmitSoundJobs(int n, int accelerators = 1) {
     for (int i = 0; i < n; ++i) {
-      const auto name = "sound" + std::to_string(sound_count++);
+      const auto name = "sound" + std::to_string(sound_job_count++);
       Submit(MakeJob(name, 1, accelerators));
     }
   }
 
-  void CheckSound() {
-    for (int i = 0; i < sound_count; ++i) {
+  void CheckSoundJobsCompleted() {
+    for (int i = 0; i < sound_job_count; ++i) {
       CHECK(StateOf("sound" + std::to_string(i)) == JobState::kCompleted);
     }
   }
 
-  void CheckGivenUp(const std::string& job) {
+  void CheckJobGivenUp(const std::string& job) {
     CHECK(StateOf(job) == JobState::kFailed);
     const int crashes = workers().crashes(CrashingTask(job));
     CHECK(crashes >= 2);
@@ -68,46 +70,47 @@
     CHECK(workers().violations().empty());
   }
 
-  /// Time from the start of a task to the crash of its worker.
+  /// Time from the start of a crashing task to the crash of its worker.
   Duration crash_delay{2'000};
-  /// The step, index and occurrence of tasks that crash; negative for any.
+  /// The step, index and occurrence of the tasks of a "crash..." job that crash
+  /// their workers; a negative value matches any.
   int crash_step = -1;
   int crash_index = -1;
   int crash_occurrence = -1;
-  /// Number of jobs submitted that do not crash.
-  int sound_count = 0;
+  /// Number of submitted jobs whose tasks do not crash their workers.
+  int sound_job_count = 0;
 };
 
-TEST_CASE("a task that crashes its workers is not restarted without end") {
+TEST_CASE("a task that crashes its workers is not restarted indefinitely") {
   CrashWorld world;
   world.Submit(OwnerWorld::MakeJob("crash", 1, 8));
   world.RunFor(30'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
-TEST_CASE("sound tasks beside a task that crashes its workers complete") {
+TEST_CASE("sound jobs complete beside a task that crashes its workers") {
   CrashWorld world;
-  world.SubmitSound(6);
+  world.SubmitSoundJobs(6);
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
-  world.SubmitSound(6);
+  world.SubmitSoundJobs(6);
   for (int i = 0; i < 10; ++i) {
     world.RunFor(1'000);
-    world.SubmitSound(3);
+    world.SubmitSoundJobs(3);
   }
   world.RunFor(20'000);
-  world.CheckGivenUp("crash");
-  world.CheckSound();
+  world.CheckJobGivenUp("crash");
+  world.CheckSoundJobsCompleted();
 }
 
 TEST_CASE("two tasks that crash their workers are both given up") {
   CrashWorld world(1, 6);
-  world.SubmitSound(4);
+  world.SubmitSoundJobs(4);
   world.Submit(OwnerWorld::MakeJob("crash0", 1, 1));
   world.Submit(OwnerWorld::MakeJob("crash1", 1, 1));
   world.RunFor(40'000);
-  world.CheckGivenUp("crash0");
-  world.CheckGivenUp("crash1");
-  world.CheckSound();
+  world.CheckJobGivenUp("crash0");
+  world.CheckJobGivenUp("crash1");
+  world.CheckSoundJobsCompleted();
 }
 
 TEST_CASE("a gang with one task that crashes its workers is given up") {
@@ -117,7 +120,7 @@
   job.steps[0].is_gang = true;
   world.Submit(job);
   world.RunFor(40'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
 TEST_CASE("a job whose second step crashes its workers is given up") {
@@ -128,7 +131,7 @@
   job.steps.back().depends_on = {0};
   world.Submit(job);
   world.RunFor(50'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
 TEST_CASE("giving up one step of a job stops its other steps") {
@@ -138,11 +141,12 @@
   job.steps.push_back(job.steps.front());
   world.Submit(job);
   world.RunFor(25'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
   CHECK(world.workers().running() == 0);
 }
 
-TEST_CASE("an occurrence that crashes its workers fails the job") {
+TEST_CASE(
+    "a scheduled job is given up when one occurrence crashes its workers") {
   CrashWorld world;
   world.crash_occurrence = 1;
   auto job = OwnerWorld::MakeJob("crash", 1, 1);
@@ -150,7 +154,7 @@
   job.schedule = {3, now + 500, 1'000};
   world.Submit(job);
   world.RunFor(40'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
 TEST_CASE("a service step that crashes its workers is given up") {
@@ -159,10 +163,11 @@
   job.steps[0].is_service = true;
   world.Submit(job);
   world.RunFor(30'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
-TEST_CASE("a service step survives crashes of its workers after long runs") {
+TEST_CASE(
+    "a service step is not given up when its workers crash after long runs") {
   CrashWorld world;
   world.workers().run_time = [](const jobs::TaskName&) {
     return Duration(3'600'000);
@@ -187,7 +192,7 @@
   job.max_attempts = attempts;
   world.Submit(job);
   world.RunFor(30'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
 TEST_CASE("crashes are counted across preemptions") {
@@ -196,7 +201,7 @@
   for (int i = 0; i < 20; ++i) {
     world.RunFor(1'700);
     auto urgent = OwnerWorld::MakeJob("sound" + std::to_string(i), 1, 8);
-    ++world.sound_count;
+    ++world.sound_job_count;
     urgent.priority = 0;
     urgent.slack_factor = 3;
     urgent.steps[0].run_time_estimate = Duration(3'000);
@@ -210,19 +215,19 @@
 enum class OwnerFault { kKilled, kFrozen, kCutOff, kReleased };
 
 TEST_CASE("crashes are counted across a change of owner") {
-  const int crash = GENERATE(1, 2, 3);
+  const int min_crashes = GENERATE(1, 2, 3);
   const auto fault = GENERATE(OwnerFault::kKilled, OwnerFault::kFrozen,
                               OwnerFault::kCutOff, OwnerFault::kReleased);
-  const int after = GENERATE(0, 30, 1'000, 1'700);
-  const bool is_alone = GENERATE(true, false);
+  const int crash_to_fault_ms = GENERATE(0, 30, 1'000, 1'700);
+  const bool is_only_job = GENERATE(true, false);
   CrashWorld world(3);
-  if (!is_alone) world.SubmitSound(6);
+  if (!is_only_job) world.SubmitSoundJobs(6);
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
   const auto task = world.CrashingTask("crash");
-  for (int i = 0; i < 600 && world.workers().crashes(task) < crash; ++i) {
+  for (int i = 0; i < 600 && world.workers().crashes(task) < min_crashes; ++i) {
     world.RunFor(50);
   }
-  world.RunFor(after);
+  world.RunFor(crash_to_fault_ms);
   const auto owner = world.OwnerName();
   REQUIRE(!owner.empty());
   switch (fault) {
@@ -246,26 +251,26 @@
   world.RunFor(60'000);
   CHECK(world.StateOf("crash") == JobState::kFailed);
   CHECK(world.workers().violations().empty());
-  world.CheckSound();
+  world.CheckSoundJobsCompleted();
 }
 
-TEST_CASE("crashes are counted when all VMs are killed at once") {
+TEST_CASE("crashes are counted when all owner processes are killed at once") {
   CrashWorld world(2);
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
-  world.RunUntilCrash(world.CrashingTask("crash"), 2);
+  world.RunUntilCrashes(world.CrashingTask("crash"), 2);
   world.KillOwner("vm0");
   world.KillOwner("vm1");
   world.RunFor(3'000);
   world.StartOwner("vm2");
   world.RunFor(60'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
 TEST_CASE("crashes are counted during a store outage") {
   CrashWorld world(2);
-  world.SubmitSound(6);
+  world.SubmitSoundJobs(6);
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
-  world.RunUntilCrash(world.CrashingTask("crash"), 1);
+  world.RunUntilCrashes(world.CrashingTask("crash"), 1);
   const auto fault =
       GENERATE(fakes::StoreFault::kSilent, fakes::StoreFault::kBusy);
   world.store().SetFaultForAll(fault);
@@ -274,15 +279,15 @@
   world.RunFor(60'000);
   CHECK(world.StateOf("crash") == JobState::kFailed);
   CHECK(world.workers().violations().empty());
-  world.CheckSound();
+  world.CheckSoundJobsCompleted();
 }
 
-TEST_CASE("a crash counts when the write of its record gets no answer") {
+TEST_CASE("a crash is counted when the write that records it gets no answer") {
   CrashWorld world(2);
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
   const auto task = world.CrashingTask("crash");
-  const int crash = GENERATE(1, 2, 3);
-  for (int i = 0; i < 600 && world.workers().crashes(task) < crash; ++i) {
+  const int min_crashes = GENERATE(1, 2, 3);
+  for (int i = 0; i < 600 && world.workers().crashes(task) < min_crashes; ++i) {
     world.RunFor(50);
   }
   world.store().SetFaultForTransactions(
@@ -294,29 +299,31 @@
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("a crash counts when the worker restarts before it is found silent") {
+TEST_CASE(
+    "a crash is counted when the worker restarts before its failure is "
+    "detected") {
   CrashWorld world(1, 12, Duration(40));
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
   world.RunFor(40'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
-TEST_CASE("a crash counts when the worker restarts at another address") {
+TEST_CASE("a crash is counted when the worker restarts at another address") {
   CrashWorld world(1, 12, Duration(1'500), true);
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
   world.RunFor(90'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
-TEST_CASE("a task that crashes its worker at its start is given up") {
+TEST_CASE("a task that crashes its workers as it starts is given up") {
   CrashWorld world;
   world.crash_delay = Duration(0);
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
   world.RunFor(90'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
-TEST_CASE("a crash counts when the start was carried out late") {
+TEST_CASE("a crash is counted when the worker carried out the start late") {
   CrashWorld world(1, 4);
   for (int i = 0; i < 4; ++i) {
     world.workers().MakeNextStartLate(OwnerWorld::WorkerCalled(i),
@@ -324,10 +331,10 @@
   }
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
   world.RunFor(90'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
-TEST_CASE("a crash counts when the worker is unreachable at the time") {
+TEST_CASE("a crash is counted when the worker is unreachable at the time") {
   CrashWorld world(1, 12, Duration(3'000));
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
   world.RunFor(200);
@@ -341,7 +348,7 @@
     world.RunFor(400);
   }
   world.RunFor(60'000);
-  world.CheckGivenUp("crash");
+  world.CheckJobGivenUp("crash");
 }
 
 TEST_CASE("a task that crashes a draining worker is given up") {
@@ -358,41 +365,42 @@
 TEST_CASE("a cancelled job that crashes its workers stays cancelled") {
   CrashWorld world;
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
-  world.RunUntilCrash(world.CrashingTask("crash"), 1);
+  world.RunUntilCrashes(world.CrashingTask("crash"), 1);
   world.Cancel("crash");
   world.RunFor(20'000);
   CHECK(world.StateOf("crash") == JobState::kCancelled);
   CHECK(world.workers().crashes(world.CrashingTask("crash")) <= 2);
 }
 
-TEST_CASE("sound jobs survive failure domains that lose power in turn") {
+TEST_CASE("sound jobs complete although failure domains lose power in turn") {
   CrashWorld world(1, 16);
   world.workers().run_time = [](const jobs::TaskName&) {
     return Duration(9'000);
   };
-  world.SubmitSound(4, 8);
-  world.SubmitSound(8, 1);
+  world.SubmitSoundJobs(4, 8);
+  world.SubmitSoundJobs(8, 1);
   for (int domain = 0; domain < 4; ++domain) {
     world.RunFor(4'000);
-    constexpr int kPerDomain = 4;
-    for (int i = 0; i < kPerDomain; ++i) {
-      world.workers().Crash(OwnerWorld::WorkerCalled(kPerDomain * domain + i));
+    constexpr int kWorkersPerDomain = 4;
+    for (int i = 0; i < kWorkersPerDomain; ++i) {
+      world.workers().Crash(
+          OwnerWorld::WorkerCalled(kWorkersPerDomain * domain + i));
     }
   }
   world.RunFor(60'000);
-  world.CheckSound();
+  world.CheckSoundJobsCompleted();
   CHECK(world.workers().violations().empty());
 }
 
-TEST_CASE("sound jobs survive workers that crash in turn") {
+TEST_CASE("sound jobs complete although workers crash in turn") {
   CrashWorld world;
-  world.SubmitSound(10);
+  world.SubmitSoundJobs(10);
   for (int i = 0; i < 8; ++i) {
     world.RunFor(700);
     world.workers().Crash(OwnerWorld::WorkerCalled(i));
   }
   world.RunFor(30'000);
-  world.CheckSound();
+  world.CheckSoundJobsCompleted();
 }
 
 TEST_CASE("a sound job is not given up when one worker crashes repeatedly") {
@@ -403,11 +411,11 @@
                        [&world, worker] { world.workers().Crash(worker); });
   };
   for (int i = 0; i < 15; ++i) {
-    world.SubmitSound(3, 2);
+    world.SubmitSoundJobs(3, 2);
     world.RunFor(1'000);
   }
   world.RunFor(30'000);
-  world.CheckSound();
+  world.CheckSoundJobsCompleted();
 }
 
 TEST_CASE("urgent jobs start in time beside tasks that crash their workers") {
@@ -417,23 +425,25 @@
     world.Submit(OwnerWorld::MakeJob("crash" + std::to_string(i), 2, 1));
   }
   for (int i = 0; i < 20; ++i) {
-    const auto name = "sound" + std::to_string(world.sound_count++);
+    const auto name = "sound" + std::to_string(world.sound_job_count++);
     auto urgent = OwnerWorld::MakeJob(name, 2, 1);
     urgent.priority = 0;
     world.Submit(urgent);
     world.RunFor(900);
-    // Allows time to repeat a start on a worker that has just crashed.
-    constexpr int kJobsBack = 4;
-    if (world.sound_count <= kJobsBack) continue;
-    const auto earlier =
-        "sound" + std::to_string(world.sound_count - 1 - kJobsBack);
+    // The delay leaves time to repeat a start that was sent to a worker that
+    // had just crashed.
+    constexpr int kCheckDelayJobs = 4;
+    if (world.sound_job_count <= kCheckDelayJobs) continue;
+    const auto earlier_job =
+        "sound" + std::to_string(world.sound_job_count - 1 - kCheckDelayJobs);
     for (int task = 0; task < 2; ++task) {
-      INFO(earlier << ' ' << task);
-      CHECK(world.workers().starts({base::JobName(earlier), 0, 0, task}) > 0);
+      INFO(earlier_job << ' ' << task);
+      CHECK(world.workers().starts({base::JobName(earlier_job), 0, 0, task}) >
+            0);
     }
   }
   world.RunFor(60'000);
-  world.CheckSound();
+  world.CheckSoundJobsCompleted();
   CHECK(world.workers().violations().empty());
 }
 
