--- a/src/placement/planner.h
+++ b/src/placement/planner.h
@@ -14,8 +14,8 @@
 
 namespace lapishatch::placement {
 
-/// Start this queued gang here. The planner holds the place from now on; the
-/// caller reports Ended (or StartFailed) when it is free again.
+/// Start this queued gang here. The place is allocated from now on; the caller
+/// calls ReportEnded when it is free again, also when the start has failed.
 struct StartGang {
   base::JobName job;
   GangPlacement placement;
@@ -122,8 +122,8 @@
   void Adopt(const Gang& gang, const GangPlacement& placement,
              base::TimePoint started);
 
-  /// Removes a queued gang; a running one the caller stops, and then reports
-  /// Ended.
+  /// Removes a queued gang. The caller stops a running one and then calls
+  /// ReportEnded.
   void Cancel(const base::JobName& job);
 
   /// Reports that a started or evicted gang has released its capacity. An
