--- a/bench/fake_cluster.h
+++ b/bench/fake_cluster.h
@@ -155,8 +155,9 @@
     auto once = std::make_shared<std::function<void(backends::RunnerOutcome)>>(
         std::move(done));
     process_.After(request.deadline, [once] {
-      if (*once)
+      if (*once) {
         std::exchange(*once, {})(backends::RunnerResponseLost{true, "late"});
+      }
     });
     time_.After(Way(runner), [this, runner, once] {
       cluster_.Accept(runner, [this, once](backends::RunnerOutcome outcome) {
--- a/src/lifecycle/cell_lease.cc
+++ b/src/lifecycle/cell_lease.cc
@@ -365,8 +365,9 @@
   void Apply(const HolderTimedOut&) {
     if (!Is(LeasePhase::kQuerying)) return;
     if (context.changed_during_query) return Process(HolderAlive{});
-    if (!context.queried_early)
+    if (!context.queried_early) {
       return AcquireAfterQuery(AcquireReason::kExpired);
+    }
     context.timed_out_version = context.row_version;
     context.next_query_at = context.now + context.times.read_interval;
     Process(HolderUnresponsive{});
@@ -374,8 +375,9 @@
   }
 
   void Apply(const HolderConnectionRefused&) {
-    if (Is(LeasePhase::kQuerying))
+    if (Is(LeasePhase::kQuerying)) {
       AcquireAfterQuery(AcquireReason::kConnectionRefused);
+    }
   }
 
   void Apply(const EpochRejected& event) {
@@ -414,8 +416,9 @@
 
   /// Handles a row read by a candidate.
   void Observe(const RowRead& event) {
-    if (event.row_version != context.row_version)
+    if (event.row_version != context.row_version) {
       context.unchanged_since.reset();
+    }
     RecordSuccessfulRead();
     const auto row = event.row.value_or(HolderRow());
     const bool holder_changed = !context.row.holder.empty() &&
@@ -427,8 +430,9 @@
     context.suspicion = event.suspicion;
     if (context.writing) return;
     const auto& holder = context.row.holder;
-    if (holder.empty() || holder == context.self)
+    if (holder.empty() || holder == context.self) {
       return Acquire(AcquireReason::kFree);
+    }
     // The row was unchanged at least until the read was sent.
     const auto unchanged_for = context.read_sent - *context.unchanged_since;
     if (unchanged_for >=
@@ -463,8 +467,9 @@
   /// decides whether the cell is acquired.
   void HandleSuspicion(base::Duration unchanged_for) {
     if (context.suspicion == HolderSuspicion::kNone ||
-        !context.MayAcquireEarly())
+        !context.MayAcquireEarly()) {
       return;
+    }
     context.next_step =
         std::min(context.next_step, context.now + context.ReadDelay());
     const bool had_timed_out = context.timed_out_version == context.row_version;
@@ -533,8 +538,9 @@
   }
 
   void ResolveRelease(const RowRead& event) {
-    if (!event.row || !context.IsOurs(*event.row))
+    if (!event.row || !context.IsOurs(*event.row)) {
       return Process(RowReleased{});
+    }
     context.row_version = event.row_version;
     WriteRelease();
   }
--- a/src/lifecycle/gang_state_machine.cc
+++ b/src/lifecycle/gang_state_machine.cc
@@ -137,8 +137,9 @@
 struct EmitCheckpoint {
   template <typename Event, typename Fsm, typename From, typename To>
   void operator()(const Event&, Fsm& fsm, From&, To&) {
-    for (auto& member : fsm.context->members)
+    for (auto& member : fsm.context->members) {
       member.checkpoint_answered = false;
+    }
     fsm.context->out.push_back(CheckpointMembers{});
   }
 };
--- a/src/placement/planner_compact.cc
+++ b/src/placement/planner_compact.cc
@@ -82,8 +82,10 @@
   }
   if (estimate > AcceptedLoss(gang, now)) return false;
   const auto eviction_plan = PlanEvictions(place, Victims::kMovable, now);
-  if (!eviction_plan.possible || eviction_plan.victims.size() > kMaxGangsMoved)
+  if (!eviction_plan.possible ||
+      eviction_plan.victims.size() > kMaxGangsMoved) {
     return false;
+  }
   if (eviction_plan.lost_work > AcceptedLoss(gang, now)) return false;
   if (!FitElsewhere(eviction_plan.victims, place)) return false;
   gang.place = std::move(place);
--- a/src/placement/planner_own.cc
+++ b/src/placement/planner_own.cc
@@ -197,8 +197,9 @@
                                                          base::TimePoint now) {
   // Where it is now is always possible.
   auto best = FindOwnPlace(gang, {block}, now);
-  if (best.eviction_plan.possible)
+  if (best.eviction_plan.possible) {
     limit = std::min(limit, best.eviction_plan.lost_work);
+  }
   const auto shape = book_.blocks()[block].shape;
   const int worker_size = cell_.largest();
   const auto charges = cell_.ChargesOf(gang.gang.needs);
--- a/test/placement/policy_test.cc
+++ b/test/placement/policy_test.cc
@@ -39,8 +39,9 @@
     planner.Submit(MakeGang("l" + std::to_string(i), "light", 1, 1), At(i));
   }
   int heavy = 0;
-  for (const auto& it : StartedJobs(planner.Decide(At(20))))
+  for (const auto& it : StartedJobs(planner.Decide(At(20)))) {
     heavy += it[0] == 'h';
+  }
   CHECK(heavy == 6);
 }
 
--- a/testing/fakes/fake_workers.cc
+++ b/testing/fakes/fake_workers.cc
@@ -102,8 +102,9 @@
   const bool silent = fault == OrderFault::kOrderLost ||
                       fault == OrderFault::kAnswerLost ||
                       fault == OrderFault::kLate;
-  if (silent)
+  if (silent) {
     fail(options.timeout, lifecycle::OrderOutcomeUnknown{"no answer"});
+  }
   if (fault == OrderFault::kOrderLost) return;
   const auto delay =
       fault == OrderFault::kLate ? options.late : options.latency;
