--- a/src/backends/http_runner_client.cc
+++ b/src/backends/http_runner_client.cc
@@ -6,7 +6,8 @@
 namespace lapishatch::backends {
 namespace {
 
-RunnerOutcome OutcomeOf(const base::RequestId& id, http::ClientResult result) {
+RunnerOutcome RunnerOutcomeOf(const base::RequestId& id,
+                              http::ClientResult result) {
   if (auto* response = std::get_if<http::Response>(&result)) {
     return DecodeRunnerResponse(id, std::move(*response));
   }
@@ -17,7 +18,7 @@
   return RunnerResponseLost{error.timed_out, error.detail};
 }
 
-PingResult PingOf(const http::ClientResult& result) {
+PingResult PingResultOf(const http::ClientResult& result) {
   if (const auto* response = std::get_if<http::Response>(&result)) {
     return DecodePingResponse(*response);
   }
@@ -37,7 +38,7 @@
         [this, runner, id, done = std::move(done)](http::ClientResult result) {
           const auto* error = std::get_if<http::ClientError>(&result);
           if (error != nullptr && error->timed_out) client_.Forget(runner);
-          done(OutcomeOf(id, std::move(result)));
+          done(RunnerOutcomeOf(id, std::move(result)));
         });
   }
 
@@ -50,7 +51,7 @@
         [this, runner, done = std::move(done)](http::ClientResult result) {
           const auto* error = std::get_if<http::ClientError>(&result);
           if (error != nullptr && error->timed_out) client_.Forget(runner);
-          done(PingOf(result));
+          done(PingResultOf(result));
         });
   }
 
--- a/src/backends/http_worker_client.cc
+++ b/src/backends/http_worker_client.cc
@@ -10,8 +10,8 @@
 
 constexpr int kOk = 200;
 
-lifecycle::OrderOutcome OutcomeOf(const http::ClientResult& result,
-                                  std::size_t commands) {
+lifecycle::OrderOutcome OrderOutcomeOf(const http::ClientResult& result,
+                                       std::size_t commands) {
   if (const auto* response = std::get_if<http::Response>(&result)) {
     return DecodeOrderResponse(*response, commands);
   }
@@ -22,7 +22,7 @@
   return lifecycle::OrderOutcomeUnknown{error.detail};
 }
 
-ReportResult ReportOf(const http::ClientResult& result) {
+ReportResult ReportResultOf(const http::ClientResult& result) {
   if (const auto* error = std::get_if<http::ClientError>(&result)) {
     return ReportFailed{error->detail};
   }
@@ -57,7 +57,7 @@
     client_.Send(
         worker, std::move(request), options_.order_timeout,
         [commands, done = std::move(done)](const http::ClientResult& result) {
-          done(OutcomeOf(result, commands));
+          done(OrderOutcomeOf(result, commands));
         });
   }
 
@@ -68,7 +68,7 @@
     client_.Send(worker, std::move(request),
                  options_.report_timeout + query.wait,
                  [done = std::move(done)](const http::ClientResult& result) {
-                   done(ReportOf(result));
+                   done(ReportResultOf(result));
                  });
   }
 
--- a/src/backends/json_reader.cc
+++ b/src/backends/json_reader.cc
@@ -57,8 +57,8 @@
                                      std::string_view name, std::uint64_t max) {
   json::error_code ec;
   const auto number = value.to_number<std::uint64_t>(ec);
-  const bool whole = value.is_int64() || value.is_uint64();
-  if (!ec && whole && number <= max) return number;
+  const bool is_integer = value.is_int64() || value.is_uint64();
+  if (!ec && is_integer && number <= max) return number;
   Fail(name, "must be a whole number from 0 to " + std::to_string(max));
   return 0;
 }
--- a/src/backends/runner_codec.cc
+++ b/src/backends/runner_codec.cc
@@ -10,25 +10,26 @@
 
 namespace leaf = boost::leaf;
 
-constexpr std::string_view kRequestId = "Lapishatch-Request-Id";
-constexpr std::string_view kOrganisation = "Lapishatch-Organisation";
-constexpr std::string_view kClass = "Lapishatch-Class";
-constexpr std::string_view kDeadline = "Lapishatch-Deadline-Ms";
-constexpr std::string_view kContentType = "Content-Type";
-constexpr std::string_view kSlots = "Runner-Slots";
-constexpr std::string_view kBusy = "Runner-Busy";
-constexpr std::string_view kWaiting = "Runner-Waiting";
-constexpr std::string_view kLeaving = "Runner-Leaving";
-constexpr std::string_view kRan = "Runner-Ran";
+constexpr std::string_view kRequestIdHeader = "Lapishatch-Request-Id";
+constexpr std::string_view kOrganisationHeader = "Lapishatch-Organisation";
+constexpr std::string_view kWorkClassHeader = "Lapishatch-Class";
+constexpr std::string_view kDeadlineHeader = "Lapishatch-Deadline-Ms";
+constexpr std::string_view kContentTypeHeader = "Content-Type";
+constexpr std::string_view kSlotsHeader = "Runner-Slots";
+constexpr std::string_view kBusySlotsHeader = "Runner-Busy";
+constexpr std::string_view kWaitingHeader = "Runner-Waiting";
+constexpr std::string_view kLeavingHeader = "Runner-Leaving";
+constexpr std::string_view kRanHeader = "Runner-Ran";
 constexpr std::string_view kTrue = "true";
 constexpr std::string_view kFalse = "false";
 
 constexpr int kOk = 200;
-constexpr int kUnavailable = 503;
+constexpr int kServiceUnavailable = 503;
 
-/// Segments of /v1/services/{service}/requests.
-constexpr std::size_t kRequestSegments = 4;
-constexpr std::size_t kServiceSegment = 2;
+/// Number of segments of /v1/services/{service}/requests, and the index of
+/// {service} among them.
+constexpr std::size_t kRequestPathSegments = 4;
+constexpr std::size_t kServiceSegmentIndex = 2;
 
 template <typename Number>
 std::optional<Number> ParseNumber(std::string_view text) {
@@ -41,25 +42,27 @@
   return out;
 }
 
-int NumberOr0(const http::Headers& headers, std::string_view name) {
+int IntHeaderOrZero(const http::Headers& headers, std::string_view name) {
   return ParseNumber<int>(headers.Find(name)).value_or(0);
 }
 
 RunnerLoad ReadLoad(const http::Headers& headers) {
-  return {NumberOr0(headers, kSlots), NumberOr0(headers, kBusy),
-          NumberOr0(headers, kWaiting), headers.Find(kLeaving) == kTrue};
+  return {IntHeaderOrZero(headers, kSlotsHeader),
+          IntHeaderOrZero(headers, kBusySlotsHeader),
+          IntHeaderOrZero(headers, kWaitingHeader),
+          headers.Find(kLeavingHeader) == kTrue};
 }
 
-void SetLoad(const RunnerLoad& load, http::Headers& headers) {
-  headers.Set(kSlots, std::to_string(load.slots));
-  headers.Set(kBusy, std::to_string(load.busy_slots));
-  headers.Set(kWaiting, std::to_string(load.waiting));
-  headers.Set(kLeaving, load.leaving ? kTrue : kFalse);
+void WriteLoad(const RunnerLoad& load, http::Headers& headers) {
+  headers.Set(kSlotsHeader, std::to_string(load.slots));
+  headers.Set(kBusySlotsHeader, std::to_string(load.busy_slots));
+  headers.Set(kWaitingHeader, std::to_string(load.waiting));
+  headers.Set(kLeavingHeader, load.leaving ? kTrue : kFalse);
 }
 
 bool IsRequestPath(const http::Target& target) {
   const auto& it = target.segments;
-  return it.size() == kRequestSegments && it[0] == "v1" &&
+  return it.size() == kRequestPathSegments && it[0] == "v1" &&
          it[1] == "services" && it[3] == "requests";
 }
 
@@ -69,12 +72,12 @@
   http::Request out;
   out.method = "POST";
   out.target = "/v1/services/" + request.service.str() + "/requests";
-  out.headers.Set(kRequestId, request.id.str());
-  out.headers.Set(kOrganisation, request.organisation.str());
-  out.headers.Set(kClass, base::NameOf(request.work_class));
-  out.headers.Set(kDeadline, std::to_string(request.deadline.count()));
+  out.headers.Set(kRequestIdHeader, request.id.str());
+  out.headers.Set(kOrganisationHeader, request.organisation.str());
+  out.headers.Set(kWorkClassHeader, base::NameOf(request.work_class));
+  out.headers.Set(kDeadlineHeader, std::to_string(request.deadline.count()));
   if (!request.content_type.empty()) {
-    out.headers.Set(kContentType, request.content_type);
+    out.headers.Set(kContentTypeHeader, request.content_type);
   }
   out.body = std::move(request.body);
   return out;
@@ -86,20 +89,21 @@
     return leaf::new_error(CodecError{"", "no such resource"});
   }
   RunnerRequest out;
-  out.service = base::ServiceName(target.segments[kServiceSegment]);
-  out.id = base::RequestId(std::string(request.headers.Find(kRequestId)));
+  out.service = base::ServiceName(target.segments[kServiceSegmentIndex]);
+  out.id = base::RequestId(std::string(request.headers.Find(kRequestIdHeader)));
   if (out.id.empty()) {
-    return leaf::new_error(CodecError{std::string(kRequestId), "is missing"});
+    return leaf::new_error(
+        CodecError{std::string(kRequestIdHeader), "is missing"});
   }
-  out.organisation =
-      base::OrganisationName(std::string(request.headers.Find(kOrganisation)));
+  out.organisation = base::OrganisationName(
+      std::string(request.headers.Find(kOrganisationHeader)));
   const auto work_class =
-      base::ParseEnum<base::WorkClass>(request.headers.Find(kClass));
+      base::ParseEnum<base::WorkClass>(request.headers.Find(kWorkClassHeader));
   out.work_class = work_class.value_or(base::WorkClass::kNormal);
   const auto deadline =
-      ParseNumber<std::int64_t>(request.headers.Find(kDeadline));
+      ParseNumber<std::int64_t>(request.headers.Find(kDeadlineHeader));
   out.deadline = base::Duration(deadline.value_or(0));
-  out.content_type = request.headers.Find(kContentType);
+  out.content_type = request.headers.Find(kContentTypeHeader);
   out.body = request.body;
   return out;
 }
@@ -108,28 +112,28 @@
                                     RunnerResponse runner_response) {
   http::Response out;
   out.status = runner_response.status;
-  out.headers.Set(kRequestId, id.str());
+  out.headers.Set(kRequestIdHeader, id.str());
   if (!runner_response.content_type.empty()) {
-    out.headers.Set(kContentType, runner_response.content_type);
+    out.headers.Set(kContentTypeHeader, runner_response.content_type);
   }
-  SetLoad(runner_response.load, out.headers);
+  WriteLoad(runner_response.load, out.headers);
   out.body = std::move(runner_response.body);
   return out;
 }
 
 http::Response EncodeRunnerRefusal(const base::RequestId& id,
                                    const RunnerRefused& refusal) {
-  auto out =
-      http::MakeProblem(kUnavailable, "refused", "Not run", refusal.reason);
-  out.headers.Set(kRequestId, id.str());
-  out.headers.Set(kRan, kFalse);
-  SetLoad(refusal.load, out.headers);
+  auto out = http::MakeProblem(kServiceUnavailable, "refused", "Not run",
+                               refusal.reason);
+  out.headers.Set(kRequestIdHeader, id.str());
+  out.headers.Set(kRanHeader, kFalse);
+  WriteLoad(refusal.load, out.headers);
   return out;
 }
 
 RunnerOutcome DecodeRunnerResponse(const base::RequestId& id,
                                    http::Response response) {
-  const auto response_id = response.headers.Find(kRequestId);
+  const auto response_id = response.headers.Find(kRequestIdHeader);
   if (response_id != id.str()) {
     std::string detail = response_id.empty()
                              ? "answer carries no request id, status " +
@@ -138,22 +142,22 @@
     return RunnerResponseLost{false, std::move(detail)};
   }
   const auto load = ReadLoad(response.headers);
-  if (response.headers.Find(kRan) == kFalse) {
+  if (response.headers.Find(kRanHeader) == kFalse) {
     return RunnerRefused{std::move(response.body), load};
   }
   return RunnerResponse{response.status,
-                        std::string(response.headers.Find(kContentType)),
+                        std::string(response.headers.Find(kContentTypeHeader)),
                         std::move(response.body), load};
 }
 
 http::Response EncodePingResponse(const RunnerLoad& load) {
   http::Response out;
-  SetLoad(load, out.headers);
+  WriteLoad(load, out.headers);
   return out;
 }
 
 PingResult DecodePingResponse(const http::Response& response) {
-  if (response.status != kOk || !response.headers.Has(kSlots)) {
+  if (response.status != kOk || !response.headers.Has(kSlotsHeader)) {
     return RunnerNotReached{"ping answered with status " +
                             std::to_string(response.status)};
   }
--- a/src/backends/runner_monitor.cc
+++ b/src/backends/runner_monitor.cc
@@ -14,11 +14,12 @@
 
   void Watch(const http::Endpoint& runner) {
     auto options = options_;
-    // Gives each runner its own jitter.
+    // A different seed per runner gives each its own jitter.
     options.seed += ++watch_count_;
     const auto [it, added] = runners_.try_emplace(
-        runner, Watched{RunnerHealth(options, loop_.Now()), watch_count_, 0});
-    if (added) Arm(runner, it->second);
+        runner,
+        WatchedRunner{RunnerHealth(options, loop_.Now()), watch_count_, 0});
+    if (added) SchedulePing(runner, it->second);
   }
 
   void Unwatch(const http::Endpoint& runner) {
@@ -28,14 +29,16 @@
     runners_.erase(it);
   }
 
-  template <typename Event>
-  void Apply(const http::Endpoint& runner, Event event) {
+  /// Updates the health of a watched runner, schedules its next ping and
+  /// reports a change of its state.
+  template <typename Update>
+  void Apply(const http::Endpoint& runner, Update update) {
     const auto it = runners_.find(runner);
     if (it == runners_.end()) return;
     const auto before = it->second.health.state();
-    event(it->second.health);
+    update(it->second.health);
     const auto after = it->second.health.state();
-    Arm(runner, it->second);
+    SchedulePing(runner, it->second);
     if (before != after && on_change_) on_change_(runner, after);
   }
 
@@ -55,15 +58,16 @@
   }
 
  private:
-  struct Watched {
+  struct WatchedRunner {
     RunnerHealth health;
-    /// Distinguishes this watch from a later one of the same runner.
+    /// Distinguishes this watch from later ones of the same runner, so that
+    /// results of older pings are ignored.
     std::uint64_t id = 0;
     base::TimerId timer = 0;
   };
 
   /// Sets the timer for the next ping.
-  void Arm(const http::Endpoint& runner, Watched& watched) {
+  void SchedulePing(const http::Endpoint& runner, WatchedRunner& watched) {
     loop_.Cancel(watched.timer);
     const auto delay =
         std::max(watched.health.next_ping() - loop_.Now(), base::Duration(0));
@@ -93,11 +97,11 @@
     const auto it = runners_.find(runner);
     if (it == runners_.end() || it->second.id != id) return;
     const auto* load = std::get_if<RunnerLoad>(&result);
-    const auto time = loop_.Now();
+    const auto completed_at = loop_.Now();
     if (load != nullptr && on_load_) on_load_(runner, *load);
-    Apply(runner, [load, time](RunnerHealth& health) {
-      load != nullptr ? health.RecordResponse(time)
-                      : health.RecordPingFailure(time);
+    Apply(runner, [load, completed_at](RunnerHealth& health) {
+      load != nullptr ? health.RecordResponse(completed_at)
+                      : health.RecordPingFailure(completed_at);
     });
   }
 
@@ -107,7 +111,7 @@
   OnChange on_change_;
   OnLoad on_load_;
   std::uint64_t watch_count_ = 0;
-  std::map<http::Endpoint, Watched> runners_;
+  std::map<http::Endpoint, WatchedRunner> runners_;
 };
 
 RunnerMonitor::RunnerMonitor(base::EventLoop& loop, RunnerClient& client,
--- a/src/backends/worker_codec.cc
+++ b/src/backends/worker_codec.cc
@@ -28,12 +28,13 @@
 constexpr int kPreconditionFailed = 412;
 constexpr int kServerError = 500;
 
-/// No valid message nests deeper; deeper JSON is rejected to bound stack use.
-constexpr std::size_t kMaxDepth = 32;
+/// Bounds the nesting depth of JSON, and so the stack use of the parser; deeper
+/// messages are rejected.
+constexpr std::size_t kMaxNestingDepth = 32;
 
 std::optional<json::value> Parse(std::string_view text) {
   json::parse_options options;
-  options.max_depth = kMaxDepth;
+  options.max_depth = kMaxNestingDepth;
   json::error_code ec;
   auto value =
       json::parse(json::string_view(text.data(), text.size()), ec, {}, options);
@@ -41,14 +42,14 @@
   return value;
 }
 
-json::object ObjectOf(std::string_view command, const TaskKey& key) {
+json::object CommandObject(std::string_view command, const TaskKey& key) {
   return {{"command", command},
           {"job", key.job.str()},
           {"attempt", key.attempt.str()},
           {"task", key.task}};
 }
 
-json::value PayloadValue(const std::string& payload) {
+json::value PayloadToJson(const std::string& payload) {
   auto value = Parse(payload);
   return value.has_value() ? std::move(*value) : json::value(payload);
 }
@@ -56,7 +57,7 @@
 /// Encodes each command as a JSON object.
 struct CommandEncoder {
   json::object operator()(const lifecycle::ReserveTask& it) const {
-    auto out = ObjectOf("reserve", it.key);
+    auto out = CommandObject("reserve", it.key);
     out["accelerators"] = it.accelerators;
     out["cores"] = it.cores;
     out["memory_mb"] = it.memory_mb;
@@ -64,31 +65,31 @@
     return out;
   }
   json::object operator()(const lifecycle::StartTask& it) const {
-    auto out = ObjectOf("start", it.key);
+    auto out = CommandObject("start", it.key);
     out["lease_ms"] = it.lease.count();
-    if (!it.payload.empty()) out["payload"] = PayloadValue(it.payload);
+    if (!it.payload.empty()) out["payload"] = PayloadToJson(it.payload);
     if (!it.from_checkpoint.empty()) {
       out["from_checkpoint"] = it.from_checkpoint;
     }
     return out;
   }
   json::object operator()(const lifecycle::RenewTask& it) const {
-    auto out = ObjectOf("renew", it.key);
+    auto out = CommandObject("renew", it.key);
     out["lease_ms"] = it.lease.count();
     return out;
   }
   json::object operator()(const lifecycle::CheckpointTask& it) const {
-    auto out = ObjectOf("checkpoint", it.key);
+    auto out = CommandObject("checkpoint", it.key);
     out["object"] = it.object;
     return out;
   }
   json::object operator()(const lifecycle::ThrottleTask& it) const {
-    auto out = ObjectOf("throttle", it.key);
+    auto out = CommandObject("throttle", it.key);
     out["cores"] = it.cores;
     return out;
   }
   json::object operator()(const lifecycle::StopTask& it) const {
-    return ObjectOf("stop", it.key);
+    return CommandObject("stop", it.key);
   }
 };
 
@@ -188,7 +189,7 @@
   return out;
 }
 
-void ReadSizes(JsonReader& reader, WorkerReport& out) {
+void ReadCapacityAndUsage(JsonReader& reader, WorkerReport& out) {
   out.accelerators = static_cast<int>(reader.Number("accelerators", kMaxInt));
   out.cores = static_cast<int>(reader.Number("cores", kMaxInt));
   out.memory_mb =
@@ -207,7 +208,7 @@
   return out;
 }
 
-/// Encodes a worker's outcome as an HTTP response.
+/// Encodes the outcome of an order as an HTTP response.
 struct OutcomeEncoder {
   http::Response operator()(const lifecycle::OrderDone& it) const {
     json::array results;
@@ -251,35 +252,35 @@
 
 void AppendParameter(std::string_view name, std::string_view value,
                      std::string& out) {
-  static constexpr std::string_view kDigits = "0123456789ABCDEF";
-  static constexpr unsigned kHalfByte = 4;
+  static constexpr std::string_view kHexDigits = "0123456789ABCDEF";
+  static constexpr unsigned kBitsPerHexDigit = 4;
   out += out.find('?') == std::string::npos ? '?' : '&';
   out += name;
   out += '=';
   for (const char it : value) {
     const auto byte = static_cast<unsigned char>(it);
-    const bool plain = (byte >= 'a' && byte <= 'z') ||
-                       (byte >= 'A' && byte <= 'Z') ||
-                       (byte >= '0' && byte <= '9') || byte == '-' ||
-                       byte == '.' || byte == '_';
-    if (plain) {
+    const bool is_unreserved = (byte >= 'a' && byte <= 'z') ||
+                               (byte >= 'A' && byte <= 'Z') ||
+                               (byte >= '0' && byte <= '9') || byte == '-' ||
+                               byte == '.' || byte == '_';
+    if (is_unreserved) {
       out += it;
       continue;
     }
     out += '%';
-    out += kDigits[byte >> kHalfByte];
-    out += kDigits[byte & 0xFU];
+    out += kHexDigits[byte >> kBitsPerHexDigit];
+    out += kHexDigits[byte & 0xFU];
   }
 }
 
-void AppendNumber(std::string_view name, std::uint64_t value,
-                  std::string& out) {
+void AppendNonZero(std::string_view name, std::uint64_t value,
+                   std::string& out) {
   if (value != 0) AppendParameter(name, std::to_string(value), out);
 }
 
-std::uint64_t ReadParameter(const http::Target& target, std::string_view name,
-                            std::uint64_t max,
-                            std::optional<CodecError>& error) {
+std::uint64_t ReadNumberParameter(const http::Target& target,
+                                  std::string_view name, std::uint64_t max,
+                                  std::optional<CodecError>& error) {
   const auto text = target.Query(name);
   if (text.empty()) return 0;
   std::uint64_t out = 0;
@@ -293,10 +294,11 @@
   return 0;
 }
 
-base::Duration ReadDuration(const http::Target& target, std::string_view name,
-                            std::optional<CodecError>& error) {
-  return base::Duration(
-      static_cast<std::int64_t>(ReadParameter(target, name, kMaxInt64, error)));
+base::Duration ReadDurationParameter(const http::Target& target,
+                                     std::string_view name,
+                                     std::optional<CodecError>& error) {
+  return base::Duration(static_cast<std::int64_t>(
+      ReadNumberParameter(target, name, kMaxInt64, error)));
 }
 
 }  // namespace
@@ -364,7 +366,7 @@
   out.incarnation = base::Incarnation(reader.String("incarnation"));
   out.epoch_seen = reader.Number("epoch_seen", kMaxUint64);
   out.rack = base::RackName(reader.OptionalString("rack"));
-  ReadSizes(reader, out);
+  ReadCapacityAndUsage(reader, out);
   out.leaving = reader.OptionalBool("leaving");
   out.sequence = reader.Number("sequence", kMaxUint64);
   const auto& tasks = reader.Array("tasks");
@@ -403,27 +405,27 @@
 
 std::string EncodeReportQuery(const ReportQuery& query) {
   std::string out(kReportPath);
-  AppendNumber("since", query.since, out);
+  AppendNonZero("since", query.since, out);
   if (!query.incarnation.empty()) {
     AppendParameter("incarnation", query.incarnation.str(), out);
   }
-  AppendNumber("wait_ms", static_cast<std::uint64_t>(query.wait.count()), out);
-  AppendNumber("epoch", query.epoch, out);
+  AppendNonZero("wait_ms", static_cast<std::uint64_t>(query.wait.count()), out);
+  AppendNonZero("epoch", query.epoch, out);
   if (!query.cell.empty()) AppendParameter("cell", query.cell.str(), out);
-  AppendNumber("renew_ms", static_cast<std::uint64_t>(query.renew.count()),
-               out);
+  AppendNonZero("renew_ms", static_cast<std::uint64_t>(query.renew.count()),
+                out);
   return out;
 }
 
 leaf::result<ReportQuery> DecodeReportQuery(const http::Target& target) {
   std::optional<CodecError> error;
   ReportQuery out;
-  out.since = ReadParameter(target, "since", kMaxUint64, error);
+  out.since = ReadNumberParameter(target, "since", kMaxUint64, error);
   out.incarnation = base::Incarnation(std::string(target.Query("incarnation")));
-  out.wait = ReadDuration(target, "wait_ms", error);
-  out.epoch = ReadParameter(target, "epoch", kMaxUint64, error);
+  out.wait = ReadDurationParameter(target, "wait_ms", error);
+  out.epoch = ReadNumberParameter(target, "epoch", kMaxUint64, error);
   out.cell = base::CellName(std::string(target.Query("cell")));
-  out.renew = ReadDuration(target, "renew_ms", error);
+  out.renew = ReadDurationParameter(target, "renew_ms", error);
   if (error.has_value()) return leaf::new_error(*error);
   return out;
 }
--- a/test/lifecycle/gang_state_machine_test.cc
+++ b/test/lifecycle/gang_state_machine_test.cc
@@ -18,9 +18,9 @@
   return nullptr;
 }
 
-/// A machine of `tasks` members in the given phase.
-GangStateMachine MachineIn(GangPhase phase, int tasks,
-                           bool can_checkpoint = true) {
+/// Returns the state machine of a gang of `tasks` members in the given phase.
+GangStateMachine MachineInPhase(GangPhase phase, int tasks,
+                                bool can_checkpoint = true) {
   GangStateMachine machine(tasks, can_checkpoint, GangTimeouts());
   machine.Begin(kStart);
   if (phase == GangPhase::kReserving) return machine;
@@ -30,11 +30,13 @@
   if (phase == GangPhase::kStarting) return machine;
   for (int i = 0; i < tasks; ++i) machine.Handle(MemberStarted{i}, kStart);
   if (phase == GangPhase::kRunning) return machine;
-  machine.Handle(EvictRequested{"owed"}, kStart);
+  machine.Handle(EvictRequested{"capacity reclaimed"}, kStart);
   return machine;
 }
 
-TEST_CASE("a gang starts only when all members are reserved and recorded") {
+TEST_CASE(
+    "a gang starts only when all members are reserved and the intent is "
+    "recorded") {
   GangStateMachine machine(2, false, GangTimeouts());
   CHECK(Find<ReserveMembers>(machine.Begin(kStart)));
   CHECK(machine.Handle(MemberReserved{0}, kStart).empty());
@@ -49,10 +51,13 @@
   CHECK(Find<GangEnded>(last)->outcome == GangOutcome::kFinished);
 }
 
-TEST_CASE("a refused reservation releases all members of a gang") {
-  auto machine = MachineIn(GangPhase::kReserving, 3);
+TEST_CASE(
+    "a refused reservation releases all members and the job counts as not "
+    "run") {
+  auto machine = MachineInPhase(GangPhase::kReserving, 3);
   machine.Handle(MemberReserved{0}, kStart);
-  CHECK(Find<StopMembers>(machine.Handle(MemberRefused{1, "held"}, kStart)));
+  CHECK(Find<StopMembers>(
+      machine.Handle(MemberRefused{1, "accelerators in use"}, kStart)));
   machine.Handle(MemberGone{0}, kStart);
   const auto last = machine.Handle(MemberGone{2}, kStart);
   REQUIRE(Find<GangEnded>(last));
@@ -66,9 +71,10 @@
        {GangPhase::kReserving, GangPhase::kRecording, GangPhase::kStarting,
         GangPhase::kRunning, GangPhase::kCheckpointing}) {
     CAPTURE(base::NameOf(phase));
-    auto machine = MachineIn(phase, 3);
+    auto machine = MachineInPhase(phase, 3);
     REQUIRE(machine.phase() == phase);
-    CHECK(Find<StopMembers>(machine.Handle(MemberLost{1, "dead"}, kStart)));
+    CHECK(Find<StopMembers>(
+        machine.Handle(MemberLost{1, "worker unreachable"}, kStart)));
     CHECK_FALSE(Find<GangEnded>(machine.Handle(MemberGone{0}, kStart)));
     const auto last = machine.Handle(MemberGone{2}, kStart);
     REQUIRE(Find<GangEnded>(last));
@@ -78,11 +84,11 @@
   }
 }
 
-TEST_CASE("a step without a response ends at its timeout") {
+TEST_CASE("a step without a response stops the gang at its timeout") {
   for (const auto phase : {GangPhase::kReserving, GangPhase::kRecording,
                            GangPhase::kStarting, GangPhase::kCheckpointing}) {
     CAPTURE(base::NameOf(phase));
-    auto machine = MachineIn(phase, 2);
+    auto machine = MachineInPhase(phase, 2);
     REQUIRE(machine.wake_at());
     const auto due = *machine.wake_at();
     CHECK(machine.Handle(GangTimerFired{}, due - base::Duration(1)).empty());
@@ -90,8 +96,8 @@
   }
 }
 
-TEST_CASE("an eviction has a checkpoint only when every member has one") {
-  auto machine = MachineIn(GangPhase::kCheckpointing, 2);
+TEST_CASE("an evicted gang has checkpoints only when every member has one") {
+  auto machine = MachineInPhase(GangPhase::kCheckpointing, 2);
   machine.Handle(MemberCheckpointed{0, "a"}, kStart);
   CHECK(Find<StopMembers>(machine.Handle(CheckpointRefused{1}, kStart)));
   machine.Handle(MemberGone{0}, kStart);
@@ -102,20 +108,21 @@
 }
 
 TEST_CASE("a refusal after a confirmed start has no effect") {
-  auto machine = MachineIn(GangPhase::kStarting, 2);
+  auto machine = MachineInPhase(GangPhase::kStarting, 2);
   machine.Handle(MemberStarted{0}, kStart);
-  machine.Handle(MemberRefused{0, "late"}, kStart);
+  machine.Handle(MemberRefused{0, "reservation expired"}, kStart);
   CHECK(machine.member(0) == MemberState::kRunning);
 }
 
-TEST_CASE("an adopted gang continues with all members or stops") {
-  GangStateMachine whole(2, false, GangTimeouts());
-  whole.Adopt({MemberState::kRunning, MemberState::kFinished}, kStart);
-  CHECK(whole.phase() == GangPhase::kRunning);
+TEST_CASE(
+    "an adopted gang continues only if every member runs or has finished") {
+  GangStateMachine complete(2, false, GangTimeouts());
+  complete.Adopt({MemberState::kRunning, MemberState::kFinished}, kStart);
+  CHECK(complete.phase() == GangPhase::kRunning);
 
-  GangStateMachine part(2, false, GangTimeouts());
+  GangStateMachine partial(2, false, GangTimeouts());
   CHECK(Find<StopMembers>(
-      part.Adopt({MemberState::kRunning, MemberState::kReserved}, kStart)));
+      partial.Adopt({MemberState::kRunning, MemberState::kReserved}, kStart)));
 
   GangStateMachine unstarted(2, false, GangTimeouts());
   const auto out =
@@ -124,13 +131,13 @@
   CHECK_FALSE(Find<GangEnded>(out)->may_have_run);
 }
 
-/// The event with number `kind`, for member `task`.
-GangEvent AnyEvent(int kind, int task) {
+/// Returns the event with index `kind`; events of one member are for `task`.
+GangEvent EventOfKind(int kind, int task) {
   switch (kind) {
     case 0:
       return MemberReserved{task};
     case 1:
-      return MemberRefused{task, "no"};
+      return MemberRefused{task, "accelerators in use"};
     case 2:
       return MemberStarted{task};
     case 3:
@@ -140,17 +147,17 @@
     case 5:
       return MemberGone{task};
     case 6:
-      return MemberLost{task, "dead"};
+      return MemberLost{task, "worker unreachable"};
     case 7:
       return MemberCheckpointed{task, "object"};
     case 8:
       return IntentRecorded{};
     case 9:
-      return IntentNotRecorded{"no"};
+      return IntentNotRecorded{"write conflict"};
     case 10:
-      return EvictRequested{"owed"};
+      return EvictRequested{"capacity reclaimed"};
     case 11:
-      return CancelRequested{"asked"};
+      return CancelRequested{"requested by operator"};
     default:
       return GangTimerFired{};
   }
@@ -172,7 +179,8 @@
       for (const auto& command : out) {
         if (std::holds_alternative<StartMembers>(command)) {
           ++starts;
-          // Only after the record, with all members, and before any stop.
+          // Members start only after the intent is recorded and all of them are
+          // reserved, and never after a stop.
           RC_ASSERT(recorded);
           RC_ASSERT(static_cast<int>(reserved.size()) == tasks);
           RC_ASSERT(!stopped);
@@ -180,8 +188,8 @@
         if (std::holds_alternative<StopMembers>(command)) stopped = true;
         if (const auto* end = std::get_if<GangEnded>(&command)) {
           ++ends;
-          // A gang whose start was never sent cannot have run, unless a worker
-          // reports that a member finished.
+          // A gang whose start was never sent cannot have run, unless workers
+          // report that its members finished; it must be in its last phase.
           if (starts == 0 && end->outcome != GangOutcome::kFinished) {
             RC_ASSERT(machine.phase() == GangPhase::kEnded);
           }
@@ -189,7 +197,7 @@
       }
       const int kind = *rc::gen::inRange(0, 13);
       const int task = *rc::gen::inRange(0, tasks);
-      const auto event = AnyEvent(kind, task);
+      const auto event = EventOfKind(kind, task);
       if (std::holds_alternative<IntentRecorded>(event)) recorded = true;
       if (std::holds_alternative<MemberReserved>(event)) reserved.insert(task);
       now += base::Duration(*rc::gen::inRange(0, 5'000));
