--- a/src/backends/runner_monitor.cc
+++ b/src/backends/runner_monitor.cc
@@ -29,10 +29,10 @@
     runners_.erase(it);
   }
 
-  /// Updates the health of a watched runner, schedules its next ping and
-  /// reports a change of its state.
+  /// Calls `update` on the health of a watched runner, schedules its next ping
+  /// and reports a change of its state.
   template <typename Update>
-  void Apply(const http::Endpoint& runner, Update update) {
+  void UpdateHealth(const http::Endpoint& runner, Update update) {
     const auto it = runners_.find(runner);
     if (it == runners_.end()) return;
     const auto before = it->second.health.state();
@@ -99,7 +99,7 @@
     const auto* load = std::get_if<RunnerLoad>(&result);
     const auto completed_at = loop_.Now();
     if (load != nullptr && on_load_) on_load_(runner, *load);
-    Apply(runner, [load, completed_at](RunnerHealth& health) {
+    UpdateHealth(runner, [load, completed_at](RunnerHealth& health) {
       load != nullptr ? health.RecordResponse(completed_at)
                       : health.RecordPingFailure(completed_at);
     });
@@ -137,13 +137,13 @@
 }
 
 void RunnerMonitor::RecordResponse(const http::Endpoint& runner) {
-  impl_->Apply(runner, [now = impl_->now()](RunnerHealth& it) {
+  impl_->UpdateHealth(runner, [now = impl_->now()](RunnerHealth& it) {
     it.RecordResponse(now);
   });
 }
 
 void RunnerMonitor::RecordFailure(const http::Endpoint& runner) {
-  impl_->Apply(runner, [now = impl_->now()](RunnerHealth& it) {
+  impl_->UpdateHealth(runner, [now = impl_->now()](RunnerHealth& it) {
     it.RecordFailure(now);
   });
 }
