--- a/test/site/codec_test.cc
+++ b/test/site/codec_test.cc
@@ -4,7 +4,7 @@
 #include "platform/http_row_store.h"
 #include "platform/http_worker_port.h"
 #include "platform/job_body.h"
-#include "platform/queue_rows.h"
+#include "platform/operator_rows.h"
 #include "platform/site_settings.h"
 #include "platform/worker_entries.h"
 
@@ -32,30 +32,30 @@
 address = "10.9.0.1:8524"
 )";
 
-TEST_CASE("the platform's settings become ours") {
+TEST_CASE("platform settings are parsed") {
   const auto read = ParseSiteSettings(kSettings, "x.toml");
   const auto& settings = std::get<SiteSettings>(read);
   CHECK(settings.vm == "vm-7");
   CHECK(settings.failure_domain.str() == "north");
-  CHECK(settings.front == http::Endpoint{"10.0.0.7", 8521});
-  CHECK(settings.store == http::Endpoint{"10.9.0.1", 8524});
+  CHECK(settings.api_endpoint == http::Endpoint{"10.0.0.7", 8521});
+  CHECK(settings.store_endpoint == http::Endpoint{"10.9.0.1", 8524});
   CHECK(settings.max_descriptors == 3'900);
   CHECK(settings.cores == 0.5);
-  CHECK(settings.stop_grace == base::Duration(6'000));
+  CHECK(settings.stop_grace_period == base::Duration(6'000));
   CHECK(settings.bounds.stop_timeout == base::Duration(900));
   CHECK(settings.bounds.state_kept == base::Duration(90'000));
   CHECK(settings.bounds.guaranteed_start == base::Duration(3'400));
-  // What the file leaves out keeps its default.
+  // A field that is not in the file keeps its default.
   CHECK(settings.bounds.longest_lease == dispatch::Bounds{}.longest_lease);
 }
 
-TEST_CASE("a wrong settings file is refused with what is wrong") {
+TEST_CASE("an invalid settings file is rejected with the reason") {
   const auto problem = [](const std::string& text) {
     const auto read = ParseSiteSettings(text, "x.toml");
     return std::get<SettingsProblem>(read).detail;
   };
   CHECK(problem("node = \"a\"\n[").starts_with("x.toml:2"));
-  CHECK(problem("zone = \"a\"") == "x.toml: node is missing or no text");
+  CHECK(problem("zone = \"a\"") == "x.toml: node is missing or not a string");
   std::string text(kSettings);
   text.replace(text.find("10.0.0.7:8521"), 13, "10.0.0.7:port");
   CHECK(problem(text) == "x.toml: listen-addrs.front must be address:port");
@@ -83,20 +83,20 @@
   CHECK(body == expected);
 }
 
-TEST_CASE("tasks' names are read back, and nothing else is") {
+TEST_CASE("task names are decoded and malformed ones rejected") {
   const jobs::TaskName task{base::JobName("00ff"), 2, 1, 17};
-  CHECK(TaskText(task) == "00ff.2.1.17");
-  CHECK(ParseTask("00ff.2.1.17") == task);
+  CHECK(EncodeTaskName(task) == "00ff.2.1.17");
+  CHECK(DecodeTaskName("00ff.2.1.17") == task);
   for (const auto* text : {"", "a", "a.1.2", "a.1.2.3.4", "a.x.2.3"}) {
-    CHECK_FALSE(ParseTask(text));
+    CHECK_FALSE(DecodeTaskName(text));
   }
 }
 
-TEST_CASE("a worker's news are read") {
-  const auto news = DecodeNews(R"({"clock-ms":482113,
+TEST_CASE("the response to a hold order is decoded") {
+  const auto report = DecodeHoldResponse(R"({"clock-ms":482113,
     "running":[["aa.0.1.17",2,"c1",41,120]],
     "ended":[[58,"aa.0.1.9",1,"done",""],[59,"aa.0.1.8",3,"broken","c2"]]})");
-  const auto& read = std::get<dispatch::WorkerNews>(news);
+  const auto& read = std::get<dispatch::WorkerNews>(report);
   CHECK(read.clock == 482'113);
   REQUIRE(read.running.size() == 1);
   CHECK(read.running[0].run == 2);
@@ -107,12 +107,13 @@
   CHECK(read.ended[1].kind == dispatch::EndKind::kBroken);
 }
 
-TEST_CASE("news that make no sense are refused whole") {
+TEST_CASE("a malformed response to a hold order is rejected as a whole") {
   for (const auto* text :
        {"", "{}", R"({"clock-ms":1,"running":[],"ended":[[1,"a.0.0.0",1]]})",
         R"({"clock-ms":1,"running":[["x",1,"",0]],"ended":[]})",
         R"({"clock-ms":1,"running":[],"ended":[[1,"a.0.0.0",1,"gone",""]]})"}) {
-    CHECK(std::holds_alternative<NewsProblem>(DecodeNews(text)));
+    CHECK(
+        std::holds_alternative<HoldResponseProblem>(DecodeHoldResponse(text)));
   }
 }
 
@@ -123,7 +124,7 @@
   return out;
 }
 
-TEST_CASE("a runner's entry becomes a worker") {
+TEST_CASE("a runner's registration is decoded as a worker entry") {
   const auto entry = DecodeWorkerEntry(RunnerRow(
       R"({"service":"s","address":"10.1.0.9:8080","zone":"north",
       "state":"draining","remaining-ms":1500,"labels":["a","r1-3"],
@@ -137,19 +138,19 @@
   CHECK(entry->stays == base::Duration(1'500));
 }
 
-TEST_CASE("an entry without room or sense is no worker") {
+TEST_CASE("a registration that is malformed or lacks a capacity is rejected") {
   CHECK_FALSE(DecodeWorkerEntry(RunnerRow(R"({"service":"s"})")));
   CHECK_FALSE(DecodeWorkerEntry(RunnerRow("{")));
   CHECK_FALSE(DecodeWorkerEntry(
       RunnerRow(R"({"capacity":{"cpu":1},"service":"s","address":"x"})")));
 }
 
-TEST_CASE("an entry with one field of another kind is no worker") {
-  const std::string good =
+TEST_CASE("a registration with one invalid field is rejected") {
+  const std::string valid =
       R"({"service":"s","address":"10.1.0.9:8080","zone":"north",)"
       R"("state":"ready","labels":["a","r1-3"],)"
       R"("capacity":{"cpu":16000,"mem-mb":32768,"gpu":4}})";
-  REQUIRE(DecodeWorkerEntry(RunnerRow(good)));
+  REQUIRE(DecodeWorkerEntry(RunnerRow(valid)));
   const std::vector<std::pair<std::string, std::string>> changes = {
       {R"("ready")", R"("resting")"},
       {R"("ready")", "7"},
@@ -168,14 +169,14 @@
       {R"("ready")", "\"re\xff\xfe\""},
   };
   for (const auto& [from, to] : changes) {
-    auto text = good;
+    auto text = valid;
     text.replace(text.find(from), from.size(), to);
     INFO(text);
     CHECK_FALSE(DecodeWorkerEntry(RunnerRow(text)));
   }
 }
 
-TEST_CASE("a row that cannot be read hides no other") {
+TEST_CASE("a malformed row does not hide the other rows") {
   const auto rows = DecodeRows(R"({"rows":[
     {"table":"servers","key":"a","row-version":3,"value":"%%%"},
     {"table":"servers","key":7,"row-version":4,"value":"e30="},
@@ -189,8 +190,9 @@
   CHECK(rows[2].value == "{}");
 }
 
-TEST_CASE("routes become queues and tenants organisations") {
-  const auto read = DecodeQueues(R"({"version":7,"routes":[{"name":"r-1",
+TEST_CASE("routes are decoded as queues and tenants as organisations") {
+  const auto read =
+      DecodeQueueConfiguration(R"({"version":7,"routes":[{"name":"r-1",
     "host":"h.example","prefix":"/a/","priority":2,"service":"s",
     "max-attempts":3,"slack-factor":1.5,"target-latency-ms":250}],
     "tenants":[{"name":"t","api-keys":["k"],"guaranteed":{"gpu":72}},
@@ -203,11 +205,11 @@
   CHECK_FALSE(read->queues[0].is_public);
   REQUIRE(read->organisations.size() == 2);
   CHECK(read->organisations[0].guaranteed_accelerators == 72);
-  CHECK_FALSE(DecodeQueues(R"({"routes":[]})"));
-  CHECK_FALSE(DecodeQueues("no"));
+  CHECK_FALSE(DecodeQueueConfiguration(R"({"routes":[]})"));
+  CHECK_FALSE(DecodeQueueConfiguration("no"));
 }
 
-TEST_CASE("a job's body is read") {
+TEST_CASE("the body of a job submission is decoded") {
   const auto read = DecodeJobBody(R"({"spec":"s","steps":[
     {"count":4,"cpu":500,"mem-mb":256,"estimate-ms":900,"affinity":"r1-3"},
     {"count":2,"gpu":8,"after":[0],"gang":true,"same-rack":true,
@@ -221,7 +223,7 @@
   CHECK(body.steps[1].max_tasks_per_worker == 1);
 }
 
-TEST_CASE("bad bodies are refused with what is wrong") {
+TEST_CASE("an invalid job submission is rejected with the reason") {
   const auto problem = [](const std::string& text) {
     const auto read = DecodeJobBody(text);
     const auto* it = std::get_if<BodyProblem>(&read);
@@ -247,7 +249,7 @@
   CHECK(problem(std::string(100'000, '[')) == "the body is no JSON");
 }
 
-TEST_CASE("a job's name has 16 hexadecimal digits") {
+TEST_CASE("a job name has 16 hexadecimal digits") {
   CHECK(IsJobName("5c0e7a21d94b36f8"));
   CHECK_FALSE(IsJobName("5c0e7a21d94b36f"));
   CHECK_FALSE(IsJobName("5c0e7a21d94b36g8"));
--- a/test/site/standin_codec_test.cc
+++ b/test/site/standin_codec_test.cc
@@ -5,16 +5,16 @@
 #include "platform/http_row_store.h"
 #include "platform/http_worker_port.h"
 #include "platform/job_body.h"
-#include "platform/queue_rows.h"
+#include "platform/operator_rows.h"
 #include "platform/worker_entries.h"
 
 namespace lapishatch::platform::standin {
 namespace {
 
-// The stand-in reads what the adapter writes and the other way round, so that
-// a run against it goes through the adapter's own bytes.
+// The stand-in decodes what the adapter encodes and vice versa, so that a run
+// against the stand-in exercises the adapter's wire format.
 
-TEST_CASE("the stand-in reads the adapter's transactions") {
+TEST_CASE("the stand-in decodes the adapter's transactions") {
   const store::RowTransaction sent{
       "p7", {{"t", "k", 3}}, {{"t", "k", "v"}}, {{"u", "gone"}}};
   const auto read = DecodeTransaction(EncodeTransaction(sent));
@@ -27,26 +27,26 @@
   CHECK(read.removals[0].key == "gone");
 }
 
-TEST_CASE("the adapter reads the stand-in's news of a worker") {
-  dispatch::WorkerNews news;
-  news.clock = 482'113;
+TEST_CASE("the adapter decodes the stand-in's response to a hold order") {
+  dispatch::WorkerNews report;
+  report.clock = 482'113;
   const jobs::TaskName task{base::JobName("00ff"), 0, 1, 17};
-  news.running.push_back({task, 2, "c1", 41});
-  news.ended.push_back({58, task, 1, dispatch::EndKind::kLapsed, "c0"});
-  const auto answer = AnswerOf(dispatch::HoldResult{news});
-  CHECK(answer.status == 200);
-  const auto read = DecodeNews(answer.body);
-  const auto& got = std::get<dispatch::WorkerNews>(read);
-  CHECK(got.clock == news.clock);
-  REQUIRE(got.running.size() == 1);
-  CHECK(got.running[0].task == task);
-  CHECK(got.running[0].percent == 41);
-  REQUIRE(got.ended.size() == 1);
-  CHECK(got.ended[0].kind == dispatch::EndKind::kLapsed);
-  CHECK(got.ended[0].number == 58);
+  report.running.push_back({task, 2, "c1", 41});
+  report.ended.push_back({58, task, 1, dispatch::EndKind::kLapsed, "c0"});
+  const auto response = EncodeResponse(dispatch::HoldResult{report});
+  CHECK(response.status == 200);
+  const auto read = DecodeHoldResponse(response.body);
+  const auto& decoded = std::get<dispatch::WorkerNews>(read);
+  CHECK(decoded.clock == report.clock);
+  REQUIRE(decoded.running.size() == 1);
+  CHECK(decoded.running[0].task == task);
+  CHECK(decoded.running[0].percent == 41);
+  REQUIRE(decoded.ended.size() == 1);
+  CHECK(decoded.ended[0].kind == dispatch::EndKind::kLapsed);
+  CHECK(decoded.ended[0].number == 58);
 }
 
-TEST_CASE("the adapter reads the stand-in's rows of workers and queues") {
+TEST_CASE("the adapter decodes the stand-in's worker and configuration rows") {
   dispatch::WorkerEntry entry;
   entry.name = base::WorkerName("w1");
   entry.service = base::ServiceName("survey");
@@ -70,7 +70,8 @@
   queue.max_attempts = 3;
   queue.is_public = true;
   configuration.queues.push_back(queue);
-  const auto read = DecodeQueues(EncodeConfiguration(configuration));
+  const auto read =
+      DecodeQueueConfiguration(EncodeConfiguration(configuration));
   REQUIRE(read);
   CHECK(read->version == 7);
   REQUIRE(read->queues.size() == 1);
@@ -78,7 +79,7 @@
   CHECK(read->queues[0].is_public);
 }
 
-TEST_CASE("the adapter reads the stand-in's jobs") {
+TEST_CASE("the adapter decodes the stand-in's job submissions") {
   jobs::Job job;
   job.spec = "s";
   jobs::Step step;
