--- a/bench/job_owner.cc
+++ b/bench/job_owner.cc
@@ -58,7 +58,7 @@
       return step.is_gang ? step.tasks : 1;
     };
     owner_ = std::make_unique<ServiceOwner>(
-        ServiceOwnerPorts{
+        ServiceOwnerDependencies{
             time_, store_.For("vm"), workers_.For("vm"),
             [] { return base::Duration(0); },
             [this] { return time_.Now().time_since_epoch().count(); }},
@@ -86,7 +86,7 @@
 
   void AddWorker(int i) {
     constexpr int kPerRack = 20;
-    WorkerEntry entry;
+    WorkerRegistration entry;
     entry.name = base::WorkerName("w" + std::to_string(i));
     entry.service = base::ServiceName(kService);
     entry.rack = base::RackName("r" + std::to_string(i / kPerRack));
--- a/src/dispatch/bounds.cc
+++ b/src/dispatch/bounds.cc
@@ -24,7 +24,7 @@
 constexpr Duration kOrderSlack{500};
 
 /// Registrations are polled: a lower limit would block starts between polls.
-constexpr Duration kLeastRegistrationsAge{1'000};
+constexpr Duration kMinRegistrationsAge{1'000};
 
 /// A lease as long as workers allow might be cut short by a rounding of theirs.
 constexpr Duration kLeaseSlack{100};
@@ -38,26 +38,26 @@
 
 }  // namespace
 
-std::optional<std::string> ProblemOf(const Bounds& bounds) {
+std::optional<std::string> ValidateBounds(const Bounds& bounds) {
   const std::array<std::pair<std::string_view, Duration>, 9> times{{
       {"the time to stop a task", bounds.stop_timeout},
-      {"the longest lease", bounds.longest_lease},
+      {"the longest lease", bounds.max_lease},
       {"the wait of a gang", bounds.gang_timeout},
-      {"the start of guaranteed work", bounds.guaranteed_start},
+      {"the start of guaranteed work", bounds.guaranteed_start_delay},
       {"the delay of a drain", bounds.drain_delay},
       {"the delay of a configuration", bounds.configuration_delay},
       {"the delay of an evacuation", bounds.evacuation_delay},
       {"the delay of a capacity reduction", bounds.capacity_delay},
-      {"the time that states are kept", bounds.state_kept},
+      {"the time that states are kept", bounds.state_retention},
   }};
   for (const auto& [name, time] : times) {
     if (time <= Duration(0)) return std::string(name) + " must be above 0";
   }
   if (bounds.remote_factor < 1) return "work off its rack cannot be faster";
-  if (bounds.longest_lease < kLeastLease) {
+  if (bounds.max_lease < kLeastLease) {
     return "the longest lease is too short to be renewed in time";
   }
-  if (bounds.stop_timeout >= bounds.longest_lease) {
+  if (bounds.stop_timeout >= bounds.max_lease) {
     return "a task must be stopped before its lease runs out";
   }
   return std::nullopt;
@@ -67,13 +67,13 @@
   ServiceOwnerOptions out;
   out.bounds = bounds;
   // The first member of a gang must not give up before the last one may begin.
-  out.start_window = std::min(out.start_window, bounds.gang_timeout / 2);
-  const auto in_flight = out.start_window + kOrderSlack;
-  out.evacuations_age =
+  out.start_validity = std::min(out.start_validity, bounds.gang_timeout / 2);
+  const auto in_flight = out.start_validity + kOrderSlack;
+  out.max_evacuations_age =
       std::max(bounds.evacuation_delay - in_flight, kOrderSlack);
-  out.registrations_age =
-      std::max(bounds.capacity_delay - in_flight, kLeastRegistrationsAge);
-  out.keep_ended = bounds.state_kept + bounds.state_kept / 2;
+  out.max_registrations_age =
+      std::max(bounds.capacity_delay - in_flight, kMinRegistrationsAge);
+  out.ended_job_retention = bounds.state_retention + bounds.state_retention / 2;
   return out;
 }
 
@@ -81,7 +81,7 @@
 
 SessionOptions SessionOptionsFor(const Bounds& bounds) {
   SessionOptions out;
-  out.lease = std::min(kLeaseNeeded, bounds.longest_lease - kLeaseSlack);
+  out.lease_duration = std::min(kLeaseNeeded, bounds.max_lease - kLeaseSlack);
   return out;
 }
 
@@ -90,8 +90,8 @@
   out.preempted_within = bounds.stop_timeout + kEndHeardWithin;
   out.slow_place_after = bounds.remote_factor - 1;
   out.guaranteed_slow_after =
-      std::max(Duration(0),
-               bounds.guaranteed_start - out.preempted_within - kStartNeeds);
+      std::max(Duration(0), bounds.guaranteed_start_delay -
+                                out.preempted_within - kStartNeeds);
   return out;
 }
 
--- a/src/dispatch/bounds.h
+++ b/src/dispatch/bounds.h
@@ -15,12 +15,12 @@
   /// From the order to stop a task until the worker has stopped it.
   base::Duration stop_timeout{400};
   /// Workers shorten longer leases to this.
-  base::Duration longest_lease{6'000};
+  base::Duration max_lease{6'000};
   /// How long the first member of a gang waits for the last.
   base::Duration gang_timeout{3'000};
   /// From the acceptance of an urgent job within its organisation's guarantee
   /// until all tasks of its first step have begun.
-  base::Duration guaranteed_start{2'900};
+  base::Duration guaranteed_start_delay{2'900};
   /// From when a worker says that it drains until nothing may start there.
   base::Duration drain_delay{2'000};
   /// From a new configuration until it is in force.
@@ -31,7 +31,7 @@
   /// it.
   base::Duration capacity_delay{3'000};
   /// How long callers may ask for the state of a job that has ended.
-  base::Duration state_kept{120'000};
+  base::Duration state_retention{120'000};
   /// A task takes so many times as long off its rack.
   double remote_factor = 3;
 
@@ -39,7 +39,7 @@
 };
 
 /// What keeps an owner from meeting `bounds`; nothing where it can.
-std::optional<std::string> ProblemOf(const Bounds& bounds);
+std::optional<std::string> ValidateBounds(const Bounds& bounds);
 
 }  // namespace lapishatch::dispatch
 
--- a/src/dispatch/dispatch.h
+++ b/src/dispatch/dispatch.h
@@ -11,6 +11,6 @@
 #include "dispatch/owner_lease.h"
 #include "dispatch/placer.h"
 #include "dispatch/service_owner.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 
 #endif  // LAPISHATCH_DISPATCH_DISPATCH_H_
--- a/src/dispatch/evacuations.h
+++ b/src/dispatch/evacuations.h
@@ -15,7 +15,7 @@
   /// `domains` is what the store held at this version, or later.
   store::RowVersion as_of = store::kAbsent;
   /// When the store last confirmed it, by this process's clock.
-  base::TimePoint confirmed{};
+  base::TimePoint confirmed_at{};
 };
 
 }  // namespace lapishatch::dispatch
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -14,7 +14,7 @@
   return out;
 }
 
-void Fleet::Put(const WorkerEntry& entry) {
+void Fleet::Put(const WorkerRegistration& entry) {
   auto& worker = workers_[entry.name];
   worker.name = entry.name;
   worker.rack = entry.rack;
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/base.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 #include "jobs/job.h"
 
 namespace lapishatch::dispatch {
@@ -65,7 +65,7 @@
 class Fleet {
  public:
   /// Adds a worker or changes its size, rack and labels.
-  void Put(const WorkerEntry& entry);
+  void Put(const WorkerRegistration& entry);
 
   /// Takes the worker out. What is taken of it stays counted until it is given
   /// back, also when the worker comes back in between.
--- a/src/dispatch/internal/job_book.h
+++ b/src/dispatch/internal/job_book.h
@@ -68,7 +68,7 @@
 
   /// The run of a member is over as the worker says. A run that is not the
   /// present one is nothing.
-  void OnEnded(Unit& unit, int index, EndKind kind,
+  void OnEnded(Unit& unit, int index, TaskOutcome kind,
                const std::string& checkpoint, base::TimePoint now);
 
   /// A run that had been given up as lost turns out to have ended well, on a
--- a/src/dispatch/internal/owned_service.h
+++ b/src/dispatch/internal/owned_service.h
@@ -49,13 +49,13 @@
 /// and takes over what runs.
 class OwnedService : public std::enable_shared_from_this<OwnedService> {
  public:
-  OwnedService(const ServiceOwnerPorts& ports, base::ServiceName service,
+  OwnedService(const ServiceOwnerDependencies& ports, base::ServiceName service,
                Epoch epoch, bool former_is_gone,
                const ServiceOwnerOptions& options, OwnerRights rights);
 
   void Start();
 
-  void PutWorker(const WorkerEntry& entry);
+  void PutWorker(const WorkerRegistration& entry);
   void RemoveWorker(const base::WorkerName& name);
   void SetGuarantees(std::map<base::OrganisationName, std::int64_t> guarantees);
 
@@ -83,7 +83,7 @@
   void OnCancel(const base::JobName& name);
 
   // Workers.
-  void OpenSession(const WorkerEntry& entry);
+  void OpenSession(const WorkerRegistration& entry);
   bool IsEvacuated(const Worker& worker) const;
   /// Whether the evacuations are known as of the taking of this service, and
   /// were confirmed lately: an owner whose feed lags behind starts nothing.
@@ -98,15 +98,15 @@
   /// fits its capacity.
   bool IsWithinCapacity(const base::WorkerName& name);
   void NoteEvacuations();
-  void NoteDeparture(const WorkerEntry& entry);
-  void NoteCapacity(const WorkerEntry& entry);
+  void NoteDeparture(const WorkerRegistration& entry);
+  void NoteCapacity(const WorkerRegistration& entry);
   void DrainWorkers();
-  void OnNews(const base::WorkerName& name, const WorkerNews& news,
+  void OnNews(const base::WorkerName& name, const WorkerReport& news,
               base::TimePoint sent);
   void OnRunning(const base::WorkerName& name, const RunningTask& task,
                  base::TimePoint sent);
   void OnEnded(const base::WorkerName& name, const EndedTask& end);
-  void ResolveUnlisted(const base::WorkerName& name, const WorkerNews& news,
+  void ResolveUnlisted(const base::WorkerName& name, const WorkerReport& news,
                        base::TimePoint sent);
   /// Tasks as pairs of unit and task index; see JobBook::MembersOn.
   using Members = std::vector<std::pair<Unit*, int>>;
@@ -153,7 +153,7 @@
   Unit* FindRun(const jobs::TaskName& task, int run);
   Worker* FindWorker(const base::WorkerName& name);
 
-  const ServiceOwnerPorts& ports_;
+  const ServiceOwnerDependencies& ports_;
   const base::ServiceName service_;
   const Epoch epoch_;
   const bool former_is_gone_;
--- a/src/dispatch/internal/recorder.h
+++ b/src/dispatch/internal/recorder.h
@@ -9,7 +9,7 @@
 
 #include "base/base.h"
 #include "dispatch/internal/job_book.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 #include "store/row_store.h"
 
 namespace lapishatch::dispatch::internal {
@@ -17,9 +17,9 @@
 struct RecorderOptions {
   /// Between two transactions: a part takes 150 a second, shared with what
   /// entries accept, and each is priced.
-  base::Duration spacing{15};
-  base::Duration retry_first{50};
-  base::Duration retry_limit{400};
+  base::Duration min_write_interval{15};
+  base::Duration initial_backoff{50};
+  base::Duration max_backoff{400};
 };
 
 /// Writes the progress of the dirty jobs of one part, those that are due in one
@@ -31,8 +31,8 @@
  public:
   /// `fence` is the version of the part's fence row; `on_lost` is called when
   /// the row shows another owner.
-  Recorder(base::EventLoop& loop, store::RowStore& store, std::string part,
-           int index, store::RowVersion fence, JobBook& book,
+  Recorder(base::EventLoop& loop, store::RowStore& store, std::string partition,
+           int partition_index, store::RowVersion fence_version, JobBook& book,
            RecorderOptions options,
            std::function<void(const std::string&)> on_lost);
   ~Recorder();
@@ -40,7 +40,7 @@
   Recorder& operator=(const Recorder&) = delete;
 
   /// Writes what is dirty when it is due. Called after each change of the book.
-  void Kick();
+  void ScheduleWrite();
 
   /// Calls `done` once what is known now of `jobs`, all of this part, stands in
   /// the store; soon when it does already.
@@ -50,7 +50,7 @@
   /// Whether the job's row is neither dirty nor being written.
   bool IsRecorded(const base::JobName& job) const;
 
-  store::RowVersion fence() const;
+  store::RowVersion fence_version() const;
 
  private:
   class Impl;
--- a/src/dispatch/internal/service_loader.h
+++ b/src/dispatch/internal/service_loader.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/base.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 #include "jobs/jobs.h"
 #include "store/row_store.h"
 
@@ -17,8 +17,8 @@
 /// What a new owner finds in the store.
 struct LoadedService {
   /// Versions of the fence rows, by part.
-  std::vector<store::RowVersion> fences;
-  std::map<base::JobName, store::StoredRow> progress;
+  std::vector<store::RowVersion> fence_versions;
+  std::map<base::JobName, store::StoredRow> progress_rows;
 };
 
 /// Fences off former owners in every part of a service and then reads what they
--- a/src/dispatch/internal/silent_domains.h
+++ b/src/dispatch/internal/silent_domains.h
@@ -12,16 +12,16 @@
 struct PollState {
   base::DomainName domain;
   /// When it answered last.
-  base::TimePoint answered{};
+  base::TimePoint last_answer{};
   /// When its next answer was due first; the maximum while none is under way.
-  base::TimePoint due = base::TimePoint::max();
+  base::TimePoint answer_due = base::TimePoint::max();
 };
 
 struct SilentDomainOptions {
   /// An answer that is late by more counts as missing.
-  base::Duration grace{150};
+  base::Duration answer_grace{150};
   /// So many workers must miss theirs: single ones crash.
-  int least_missing = 3;
+  int min_missing = 3;
 };
 
 /// Failure domains that are cut off, as the polls of their workers show: since
--- a/src/dispatch/internal/start_window.h
+++ b/src/dispatch/internal/start_window.h
@@ -9,25 +9,25 @@
 namespace lapishatch::dispatch::internal {
 
 struct StartWindowOptions {
-  int first = 64;
-  int least = 16;
-  int most = 1'024;
+  int initial_size = 64;
+  int min_size = 16;
+  int max_size = 1'024;
   /// An answer that takes longer shows that orders wait behind each other.
-  base::Duration late{200};
+  base::Duration late_after{200};
   /// The window changes at most once in this time, after at least so many
   /// answers.
-  base::Duration period{200};
-  int answers = 8;
+  base::Duration min_period{200};
+  int min_answers = 8;
   /// It shrinks when more than this share of the answers is late or missing,
   /// and may grow when less than that is. Workers that are cut off leave their
   /// share of the starts without an answer, which no smaller window would mend.
-  double shrinks_above = 0.5;
-  double grows_below = 0.25;
-  double shrinks_to = 0.6;
-  double grows_to = 1.5;
+  double shrink_above_late_share = 0.5;
+  double grow_below_late_share = 0.25;
+  double shrink_factor = 0.6;
+  double growth_factor = 1.5;
   /// It grows only when at least this share of it was used: a window that grew
   /// while little was to be sent says nothing of what can be.
-  double used_share = 0.5;
+  double min_used_share = 0.5;
 };
 
 /// How many starts may be under way to workers at once. More than the owner's
@@ -37,12 +37,14 @@
 class StartWindow {
  public:
   explicit StartWindow(StartWindowOptions options)
-      : options_(options), size_(options.first) {}
+      : options_(options), size_(options.initial_size) {}
 
   int size() const { return size_; }
 
   /// So many starts are under way now.
-  void NoteUse(int under_way) { most_used_ = std::max(most_used_, under_way); }
+  void RecordInFlight(int in_flight) {
+    max_in_flight_ = std::max(max_in_flight_, in_flight);
+  }
 
   /// A start was answered after `took`, or had no answer in time. Returns
   /// whether the window has changed.
@@ -53,11 +55,11 @@
 
   const StartWindowOptions options_;
   int size_;
-  base::TimePoint period_began_{};
-  int answers_ = 0;
-  int late_ = 0;
+  base::TimePoint period_start_{};
+  int answer_count_ = 0;
+  int late_count_ = 0;
   /// Of the present period.
-  int most_used_ = 0;
+  int max_in_flight_ = 0;
 };
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/internal/unit.h
+++ b/src/dispatch/internal/unit.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "base/base.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 #include "jobs/job.h"
 #include "jobs/progress.h"
 
@@ -53,7 +53,7 @@
   base::WorkerName worker;
   MemberState state = MemberState::kPlanned;
   /// Of the worker's clock: a start that comes after it is refused.
-  WorkerClock expires = 0;
+  WorkerTime expires = 0;
   /// When the worker last confirmed it, or a stop of it.
   base::TimePoint confirmed{};
   bool is_stop_confirmed = false;
--- a/src/dispatch/internal/waiting_counter.h
+++ b/src/dispatch/internal/waiting_counter.h
@@ -6,7 +6,7 @@
 
 #include "base/base.h"
 #include "dispatch/internal/job_book.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 #include "store/row_store.h"
 
 namespace lapishatch::dispatch::internal {
--- a/src/dispatch/internal/worker_health.h
+++ b/src/dispatch/internal/worker_health.h
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "base/base.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 #include "placement/worker_quarantine.h"
 
 namespace lapishatch::dispatch::internal {
@@ -39,7 +39,7 @@
   /// A task ended on a worker of a fleet of `fleet_size`. True when the worker
   /// is put out by it.
   bool OnEnded(const base::WorkerName& worker, const base::JobName& job,
-               EndKind kind, std::size_t fleet_size, base::TimePoint now);
+               TaskOutcome kind, std::size_t fleet_size, base::TimePoint now);
 
   /// Whether the worker has lately failed a task and ended none well since.
   bool IsSuspect(const base::WorkerName& worker, base::TimePoint now) const;
--- a/src/dispatch/job_book.cc
+++ b/src/dispatch/job_book.cc
@@ -206,18 +206,18 @@
   UpdateReady(run);
 }
 
-void JobBook::OnEnded(Unit& unit, int index, EndKind kind,
+void JobBook::OnEnded(Unit& unit, int index, TaskOutcome kind,
                       const std::string& checkpoint, base::TimePoint now) {
   auto& member = MemberOf(unit, index);
   if (member.state == MemberState::kOver) return;
   OnCheckpoint(unit, checkpoint, now);
   const bool is_service = unit.step->step->is_service;
-  if (kind == EndKind::kDone && !is_service) MarkDone(unit, now);
-  if (kind != EndKind::kDone) {
+  if (kind == TaskOutcome::kDone && !is_service) MarkDone(unit, now);
+  if (kind != TaskOutcome::kDone) {
     CountUnsuccessfulRun(unit, index - unit.first_index);
   }
   const bool counts = unit.failed_run < unit.last_run && !is_service;
-  if (kind == EndKind::kFailed && counts) {
+  if (kind == TaskOutcome::kFailed && counts) {
     unit.failed_run = unit.last_run;
     unit.failed_on = {member.worker};
     ++unit.failures;
--- a/src/dispatch/owned_losses.cc
+++ b/src/dispatch/owned_losses.cc
@@ -71,14 +71,14 @@
   }
   for (const auto& [name, worker] : workers_) {
     const auto& session = *worker.session;
-    const auto& entry = session.entry();
+    const auto& entry = session.registration();
     ++out.fleet_size;
     const auto place = fleet_.workers().find(name);
     const bool has_suspects =
         place != fleet_.workers().end() && place->second.suspect_tasks > 0;
     if (!has_suspects) ++out.without_suspects;
     const bool is_down = worker.is_listed && !entry.is_draining &&
-                         session.is_heard() && !session.IsReached();
+                         session.has_answered() && !session.IsReachable();
     if (!is_down || recent_crashes_.contains(name)) continue;
     if (!RunsSuspect(name)) out.workers.push_back({entry.rack, TasksOn(name)});
   }
@@ -95,7 +95,7 @@
   std::erase_if(recent_crashes_, [now](const auto& it) {
     return now - it.second.at >= kCommonCauseWindow;
   });
-  const auto& entry = worker->session->entry();
+  const auto& entry = worker->session->registration();
   recent_crashes_[name] = {{entry.rack, TasksOn(name)}, now};
   crashes_.Add(entry.endpoint, now);
 }
@@ -107,8 +107,8 @@
                                   WorkerLossReason reason) {
   const bool counts = !departures_.contains(name);
   const auto* worker = FindWorker(name);
-  const auto rack =
-      worker == nullptr ? base::RackName() : worker->session->entry().rack;
+  const auto rack = worker == nullptr ? base::RackName()
+                                      : worker->session->registration().rack;
   const auto down = members.empty() ? DownWorkers{} : FindDownWorkers();
   const auto now = ports_.loop.Now();
   for (const auto& [unit, index] : members) {
--- a/src/dispatch/owned_orders.cc
+++ b/src/dispatch/owned_orders.cc
@@ -53,22 +53,23 @@
   if (MayStart()) {
     const int under_way = book_.CountUnderWay();
     decisions = planner_.Decide(began, window_.size() - under_way);
-    window_.NoteUse(under_way + CountTasks(decisions.starts));
+    window_.RecordInFlight(under_way + CountTasks(decisions.starts));
   }
   waits_for_answers_ = decisions.is_limited;
   for (const auto& it : decisions.preempted) LogPreemption(it);
   SendStops();
   if (!decisions.starts.empty()) SendStarts(decisions.starts);
   LogEnds();
-  for (const auto& it : recorders_) it->Kick();
+  for (const auto& it : recorders_) it->ScheduleWrite();
   const auto ended = ports_.loop.Now();
   if (ports_.metrics != nullptr) {
     ports_.metrics->Observe(
         "lapishatch_decision_seconds", {{"service", service_.str()}},
         std::chrono::duration<double>(ended - began).count());
   }
-  next_decision_ = ended + std::max(options_.decide_every,
-                                    options_.decide_pause * (ended - began));
+  next_decision_ =
+      ended + std::max(options_.min_decision_interval,
+                       options_.decision_pause_factor * (ended - began));
 }
 
 void OwnedService::WhenRecorded(const std::set<base::JobName>& jobs,
@@ -139,7 +140,7 @@
   auto& member = JobBook::MemberOf(*unit, task.index);
   if (member.state == MemberState::kRunning) return;
   auto* worker = FindWorker(member.worker);
-  const bool may_send = worker != nullptr && worker->session->is_heard() &&
+  const bool may_send = worker != nullptr && worker->session->has_answered() &&
                         !IsEvacuated(*worker) && !unit->is_stopping &&
                         MayStart();
   const bool fits = IsWithinCapacity(member.worker);
@@ -154,25 +155,26 @@
     return Pump();
   }
   auto& session = *worker->session;
-  StartOrder order{task,
-                   run,
-                   unit->step->job->job->spec,
-                   session.Clock() + options_.start_window.count(),
-                   epoch_,
-                   unit->checkpoint};
-  session.NoteExpiry(order.expires);
+  StartOrder order{
+      task,
+      run,
+      unit->step->job->job->spec,
+      session.EstimatedWorkerTime() + options_.start_validity.count(),
+      epoch_,
+      unit->checkpoint};
+  session.NoteLeaseExpiry(order.expires_at);
   member.state = MemberState::kUnconfirmed;
-  member.expires = std::max(member.expires, order.expires);
+  member.expires = std::max(member.expires, order.expires_at);
   member.sent = ports_.loop.Now();
-  ports_.workers.Start(session.address(), std::move(order),
-                       options_.start_timeout,
-                       [weak = weak_from_this(), task, run,
-                        sent = member.sent](StartResult result) {
-                         const auto self = weak.lock();
-                         if (!self) return;
-                         self->NoteStartTime(result, sent);
-                         self->OnStarted(task, run, std::move(result));
-                       });
+  ports_.worker_client.Start(session.address(), std::move(order),
+                             options_.start_timeout,
+                             [weak = weak_from_this(), task, run,
+                              sent = member.sent](StartResult result) {
+                               const auto self = weak.lock();
+                               if (!self) return;
+                               self->NoteStartTime(result, sent);
+                               self->OnStarted(task, run, std::move(result));
+                             });
 }
 
 /// The size of the window follows how soon workers answer starts.
@@ -210,18 +212,19 @@
                {"run", run},
                {"worker", member.worker},
                {"reason", base::NameOf(refused->reason)}});
-    if (refused->reason == Refusal::kEpoch) {
+    if (refused->reason == RefusalReason::kStaleEpoch) {
       return Lose("a worker has seen a higher epoch");
     }
     // Only the first try can be refused for good: a later one may be refused
     // since an earlier one has run and ended, which the worker then lists.
     if (member.unanswered > 0) return;
-    if (worker != nullptr) worker->closed_until = now + options_.refused_pause;
+    if (worker != nullptr)
+      worker->closed_until = now + options_.refusal_backoff;
     book_.OnRefused(*unit, task.index, now);
     return Pump();
   }
   if (std::holds_alternative<NotSent>(result) && member.unanswered == 0) {
-    if (worker != nullptr) worker->session->MarkUnreached();
+    if (worker != nullptr) worker->session->MarkUnreachable();
     book_.OnRefused(*unit, task.index, now);
     return Pump();
   }
@@ -231,8 +234,9 @@
                                              {"run", run},
                                              {"worker", member.worker},
                                              {"tries", member.unanswered}});
-  if (worker != nullptr) worker->session->MarkUnreached();
-  if (member.unanswered < options_.start_tries) return SendStart(task, run);
+  if (worker != nullptr) worker->session->MarkUnreachable();
+  if (member.unanswered < options_.max_start_attempts)
+    return SendStart(task, run);
   book_.Stop(*unit);
   Pump();
 }
@@ -254,7 +258,7 @@
                             const base::WorkerName& name) {
   auto* worker = FindWorker(name);
   if (worker == nullptr || !rights_.may_renew()) return;
-  ports_.workers.Stop(
+  ports_.worker_client.Stop(
       worker->session->address(), {task, run, epoch_}, options_.stop_timeout,
       [weak = weak_from_this(), task, run, name](const StopResult& result) {
         const auto self = weak.lock();
@@ -266,7 +270,7 @@
                              const base::WorkerName& name,
                              const StopResult& result) {
   const auto* refused = std::get_if<Refused>(&result);
-  if (refused != nullptr && refused->reason == Refusal::kEpoch) {
+  if (refused != nullptr && refused->reason == RefusalReason::kStaleEpoch) {
     return Lose("a worker has seen a higher epoch");
   }
   auto* unit = FindRun(task, run);
@@ -278,14 +282,15 @@
     member.confirmed = ports_.loop.Now();
   }
   // Its end is listed soon; a stop whose order was lost is sent again.
-  ports_.loop.After(options_.stop_again, [weak = weak_from_this(), task, run] {
-    const auto self = weak.lock();
-    if (!self) return;
-    if (auto* it = self->FindRun(task, run)) {
-      JobBook::MemberOf(*it, task.index).is_stop_under_way = false;
-      self->Pump();
-    }
-  });
+  ports_.loop.After(
+      options_.stop_retry_interval, [weak = weak_from_this(), task, run] {
+        const auto self = weak.lock();
+        if (!self) return;
+        if (auto* it = self->FindRun(task, run)) {
+          JobBook::MemberOf(*it, task.index).is_stop_under_way = false;
+          self->Pump();
+        }
+      });
 }
 
 void OwnedService::LogEnds() {
--- a/src/dispatch/owned_service.cc
+++ b/src/dispatch/owned_service.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-OwnedService::OwnedService(const ServiceOwnerPorts& ports,
+OwnedService::OwnedService(const ServiceOwnerDependencies& ports,
                            base::ServiceName service, Epoch epoch,
                            bool former_is_gone,
                            const ServiceOwnerOptions& options,
@@ -55,18 +55,18 @@
 // Loading.
 
 void OwnedService::OnLoaded(LoadedService loaded) {
-  progress_rows_ = std::move(loaded.progress);
+  progress_rows_ = std::move(loaded.progress_rows);
   const auto parts = jobs::ProgressPartitions(service_);
   for (int i = 0; i < jobs::kProgressPartitionCount; ++i) {
     const auto index = static_cast<std::size_t>(i);
     recorders_.push_back(std::make_unique<Recorder>(
-        ports_.loop, ports_.store, parts[index], i, loaded.fences[index], book_,
-        RecorderOptions{},
+        ports_.loop, ports_.store, parts[index], i,
+        loaded.fence_versions[index], book_, RecorderOptions{},
         [this](const std::string& reason) { Lose(reason); }));
   }
   counter_.emplace(ports_.loop, ports_.store,
                    jobs::WaitingCountsPartition(service_),
-                   loaded.fences.front(), book_);
+                   loaded.fence_versions.front(), book_);
   FollowRequests();
 }
 
@@ -164,7 +164,7 @@
     RemoveOld();
     Pump();
   }
-  ports_.loop.After(options_.tick, [weak = weak_from_this()] {
+  ports_.loop.After(options_.tick_interval, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->Tick();
   });
 }
@@ -174,7 +174,7 @@
   const auto now = ports_.loop.Now();
   std::vector<base::JobName> old;
   for (const auto& [name, at] : ended_at_) {
-    if (now - at > options_.keep_ended) old.push_back(name);
+    if (now - at > options_.ended_job_retention) old.push_back(name);
   }
   for (const auto& name : old) {
     auto* job = book_.Find(name);
@@ -205,7 +205,7 @@
       static_cast<std::size_t>(jobs::ProgressPartitionIndex(name));
   ports_.store.Commit({jobs::ProgressPartition(service_, name),
                        {{std::string(kOwnerTable), std::string(kFenceKey),
-                         recorders_[part]->fence()}},
+                         recorders_[part]->fence_version()}},
                        {},
                        {{std::string(jobs::kProgressTable), name.str()}}},
                       [](const store::RowsResult&) {});
--- a/src/dispatch/owned_workers.cc
+++ b/src/dispatch/owned_workers.cc
@@ -13,12 +13,12 @@
   return it == workers_.end() ? nullptr : &it->second;
 }
 
-void OwnedService::PutWorker(const WorkerEntry& entry) {
+void OwnedService::PutWorker(const WorkerRegistration& entry) {
   if (entry.service != service_) return;
   auto& worker = workers_[entry.name];
   // Most of what the feed tells are heartbeats that change nothing.
-  const bool is_known =
-      worker.session && worker.is_listed && worker.session->entry() == entry;
+  const bool is_known = worker.session && worker.is_listed &&
+                        worker.session->registration() == entry;
   if (is_known) return;
   NoteCapacity(entry);
   fleet_.Put(entry);
@@ -27,14 +27,14 @@
     OpenSession(entry);
     return NoteDeparture(entry);
   }
-  worker.session->SetEntry(entry);
+  worker.session->SetRegistration(entry);
   NoteDeparture(entry);
   Pump();
 }
 
 /// Logs a change of capacity. A reduction drops the reservations on the worker:
 /// the tasks being stopped for them may no longer free enough room.
-void OwnedService::NoteCapacity(const WorkerEntry& entry) {
+void OwnedService::NoteCapacity(const WorkerRegistration& entry) {
   const auto* place = fleet_.Find(entry.name);
   if (place == nullptr || !place->is_known) return;
   if (place->capacity == entry.capacity) return;
@@ -51,9 +51,9 @@
 
 /// A worker that leaves says how long it stays at least. Its entry may be as
 /// old as the feed's spacing, so the earliest time that was told counts.
-void OwnedService::NoteDeparture(const WorkerEntry& entry) {
-  if (!entry.is_draining || !entry.stays) return;
-  const auto at = ports_.loop.Now() + *entry.stays;
+void OwnedService::NoteDeparture(const WorkerRegistration& entry) {
+  if (!entry.is_draining || !entry.remaining_time) return;
+  const auto at = ports_.loop.Now() + *entry.remaining_time;
   const auto [it, is_new] = departures_.try_emplace(entry.name, at);
   it->second = std::min(it->second, at);
   if (!is_new) return;
@@ -61,7 +61,7 @@
             {{"service", service_.str()},
              {"worker", entry.name},
              {"tasks", book_.MembersOn(entry.name).size()},
-             {"stays_ms", entry.stays->count()}});
+             {"stays_ms", entry.remaining_time->count()}});
 }
 
 /// Stops what would be lost with a worker that leaves.
@@ -80,11 +80,11 @@
   }
 }
 
-void OwnedService::OpenSession(const WorkerEntry& entry) {
+void OwnedService::OpenSession(const WorkerRegistration& entry) {
   const auto weak = weak_from_this();
   const auto name = entry.name;
   WorkerSession::Events events;
-  events.on_news = [weak, name](const WorkerNews& news, TimePoint sent) {
+  events.on_report = [weak, name](const WorkerReport& news, TimePoint sent) {
     if (const auto self = weak.lock()) self->OnNews(name, news, sent);
   };
   events.on_superseded = [weak] {
@@ -92,7 +92,7 @@
       self->Lose("a worker has seen a higher epoch");
     }
   };
-  events.on_other_life = [weak, name] {
+  events.on_other_incarnation = [weak, name] {
     const auto self = weak.lock();
     if (!self) return;
     self->EndAllOn(name, WorkerLossReason::kOtherLife);
@@ -103,10 +103,11 @@
     });
   };
   events.may_renew = rights_.may_renew;
-  events.longest_lease = rights_.longest_lease;
+  events.max_lease = rights_.longest_lease;
   auto& worker = workers_[name];
-  worker.session = std::make_unique<WorkerSession>(
-      ports_.loop, ports_.workers, entry, epoch_, session_options_, events);
+  worker.session =
+      std::make_unique<WorkerSession>(ports_.loop, ports_.worker_client, entry,
+                                      epoch_, session_options_, events);
   if (is_loaded_) worker.session->Start();
 }
 
@@ -117,20 +118,21 @@
 
 bool OwnedService::IsEvacuated(const Worker& worker) const {
   if (!ports_.evacuations) return false;
-  return ports_.evacuations().domains.contains(worker.session->entry().domain);
+  return ports_.evacuations().domains.contains(
+      worker.session->registration().domain);
 }
 
 bool OwnedService::KnowsEvacuations() const {
   if (!ports_.evacuations) return true;
   const auto& known = ports_.evacuations();
   return known.as_of >= epoch_ &&
-         ports_.loop.Now() - known.confirmed < options_.evacuations_age;
+         ports_.loop.Now() - known.confirmed_at < options_.max_evacuations_age;
 }
 
 bool OwnedService::HasFreshRegistrations() const {
-  if (!ports_.registrations_read) return true;
-  return ports_.loop.Now() - ports_.registrations_read() <
-         options_.registrations_age;
+  if (!ports_.registrations_read_at) return true;
+  return ports_.loop.Now() - ports_.registrations_read_at() <
+         options_.max_registrations_age;
 }
 
 bool OwnedService::IsWithinCapacity(const base::WorkerName& name) {
@@ -173,9 +175,9 @@
   polls.reserve(workers_.size());
   for (const auto& [name, worker] : workers_) {
     const auto& session = *worker.session;
-    if (!worker.is_listed || !session.is_heard()) continue;
-    polls.push_back(
-        {session.entry().domain, session.LastAnswer(), session.AnswerDue()});
+    if (!worker.is_listed || !session.has_answered()) continue;
+    polls.push_back({session.registration().domain, session.LastAnswerTime(),
+                     session.AnswerDueTime()});
   }
   auto silent = FindSilentDomains(polls, {}, ports_.loop.Now());
   if (silent == silent_) return;
@@ -204,21 +206,22 @@
     if (it->first != name) continue;
     const auto& worker = it->second;
     const auto& session = *worker.session;
-    const bool is_reached = session.is_heard() && session.IsReached() &&
-                            !silent_.contains(session.entry().domain);
-    const bool is_wanted = worker.is_listed && !session.entry().is_draining &&
+    const bool is_reached = session.has_answered() && session.IsReachable() &&
+                            !silent_.contains(session.registration().domain);
+    const bool is_wanted = worker.is_listed &&
+                           !session.registration().is_draining &&
                            !IsEvacuated(worker);
     place.is_open = is_reached && is_wanted && worker.closed_until <= now &&
                     !health_.IsOut(name);
-    const auto& address = session.entry().endpoint;
+    const auto& address = session.registration().endpoint;
     place.is_suspect =
         health_.IsSuspect(name, now) || crashes_.IsUnreliable(address, now);
     place.has_recent_crash = crashes_.HasRecentCrash(address, now);
   }
 }
 
-void OwnedService::OnNews(const base::WorkerName& name, const WorkerNews& news,
-                          TimePoint sent) {
+void OwnedService::OnNews(const base::WorkerName& name,
+                          const WorkerReport& news, TimePoint sent) {
   auto* worker = FindWorker(name);
   if (worker == nullptr) return;
   jobs::Resources strays;
@@ -236,15 +239,15 @@
   if (auto* place = fleet_.Find(name)) place->strays = strays;
   for (const auto& it : news.ended) OnEnded(name, it);
   ResolveUnlisted(name, news, sent);
-  const auto told = worker->session->ends_received();
+  const auto told = worker->session->last_received_end();
   if (!news.ended.empty()) {
     for (const auto& it : news.ended) worker->unrecorded.insert(it.task.job);
     WhenRecorded(worker->unrecorded, [weak = weak_from_this(), name, told] {
       const auto self = weak.lock();
       auto* it = self ? self->FindWorker(name) : nullptr;
       if (it == nullptr) return;
-      if (it->session->ends_received() == told) it->unrecorded.clear();
-      it->session->EndsRecorded(told);
+      if (it->session->last_received_end() == told) it->unrecorded.clear();
+      it->session->OnEndsRecorded(told);
     });
   }
   Pump();
@@ -287,33 +290,33 @@
       JobBook::MemberOf(*unit, end.task.index).worker == name;
   if (!is_present) {
     auto* former = book_.FindUnit(end.task);
-    if (former == nullptr || end.kind != EndKind::kDone) return;
+    if (former == nullptr || end.outcome != TaskOutcome::kDone) return;
     book_.OnEarlierDone(*former, end.run, ports_.loop.Now());
     return;
   }
-  if (end.kind != EndKind::kDone) {
+  if (end.outcome != TaskOutcome::kDone) {
     base::Log(base::events::kTaskEnded, {{"request", end.task.job},
                                          {"task", TextOf(end.task)},
                                          {"run", end.run},
                                          {"worker", name},
-                                         {"how", base::NameOf(end.kind)}});
+                                         {"how", base::NameOf(end.outcome)}});
   }
   if (ports_.metrics != nullptr) {
     ports_.metrics->Count("lapishatch_task_ends_total",
-                          {{"how", std::string(base::NameOf(end.kind))}});
+                          {{"how", std::string(base::NameOf(end.outcome))}});
   }
   const auto now = ports_.loop.Now();
-  if (health_.OnEnded(name, end.task.job, end.kind, workers_.size(), now)) {
+  if (health_.OnEnded(name, end.task.job, end.outcome, workers_.size(), now)) {
     base::Log(base::events::kWorkerPutOut,
               {{"service", service_.str()}, {"worker", name}});
   }
-  book_.OnEnded(*unit, end.task.index, end.kind, end.checkpoint, now);
+  book_.OnEnded(*unit, end.task.index, end.outcome, end.checkpoint, now);
 }
 
 /// Members that the worker neither runs nor has listed as ended are over, when
 /// nothing that was sent can begin them any more.
 void OwnedService::ResolveUnlisted(const base::WorkerName& name,
-                                   const WorkerNews& news, TimePoint sent) {
+                                   const WorkerReport& news, TimePoint sent) {
   for (const auto& it : book_.MembersOn(name)) {
     auto* unit = it.first;
     const int index = it.second;
@@ -333,7 +336,7 @@
     // A start of a former owner has no known expiry here (0): this owner's
     // epoch has ended it.
     const bool is_too_late = member.state == MemberState::kUnconfirmed &&
-                             news.clock > member.expires;
+                             news.worker_time > member.expires;
     if (!was_confirmed && !is_too_late) continue;
     base::Log(base::events::kTaskVanished, {{"request", task.job},
                                             {"task", TextOf(task)},
@@ -353,7 +356,7 @@
     if (unit->is_stopping || unit->phase == jobs::UnitPhase::kDone) continue;
     if (step.is_service) continue;
     const auto share = base::Duration(static_cast<std::int64_t>(
-        options_.stalled_share *
+        options_.stalled_estimate_share *
         static_cast<double>(step.run_time_estimate.count())));
     const auto patience = std::max(options_.stalled_after, share);
     std::set<base::WorkerName> still;
@@ -389,20 +392,22 @@
 /// those that are not registered any more.
 void OwnedService::CheckLapsed() {
   const auto now = ports_.loop.Now();
-  // The leases that a former owner has given reach `orphan_reach` beyond its
-  // last renewal of the row at most, which was at least the row's lease before
-  // it was taken; those of one that is gone were given before.
+  // The leases that a former owner has given reach `outage_lease_limit` beyond
+  // its last renewal of the row at most, which was at least the row's lease
+  // before it was taken; those of one that is gone were given before.
   const auto& session = session_options_;
-  const auto reach = former_is_gone_
-                         ? session.lease
-                         : std::max(session.lease, options_.orphan_reach -
-                                                       options_.lease.length);
-  const auto unheard = reach + session.lease / 20 + session.clock_slack;
+  const auto reach =
+      former_is_gone_
+          ? session.lease_duration
+          : std::max(session.lease_duration,
+                     options_.outage_lease_limit - options_.lease.duration);
+  const auto unheard =
+      reach + session.lease_duration / 20 + session.clock_margin;
   std::vector<base::WorkerName> gone;
   for (auto& [name, worker] : workers_) {
     const auto& it = *worker.session;
     const bool has_lapsed =
-        it.is_heard() ? it.HasLapsed() : now - taken_at_ > unheard;
+        it.has_answered() ? it.HasLeaseExpired() : now - taken_at_ > unheard;
     if (!has_lapsed) continue;
     if (!book_.MembersOn(name).empty()) {
       EndAllOn(name, WorkerLossReason::kLapsed);
--- a/src/dispatch/owner_lease.cc
+++ b/src/dispatch/owner_lease.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-base::Duration HandicapOf(double cores) {
+base::Duration TakeoverDelayFor(double cores) {
   const double missing = 1 - std::clamp(cores / kEnoughCores, 0.0, 1.0);
   return base::Duration(static_cast<std::int64_t>(
       missing * static_cast<double>(kMostHandicap.count())));
@@ -38,7 +38,7 @@
  public:
   Impl(base::EventLoop& loop, store::RowStore& store, base::ServiceName service,
        const std::string& vm, std::function<base::Duration()> suspended,
-       OwnerLeaseOptions options, OwnerLeaseEvents events)
+       OwnerLeaseOptions options, OwnerLeaseCallbacks events)
       : loop_(loop),
         store_(store),
         service_(std::move(service)),
@@ -73,13 +73,13 @@
     follower_->Start();
   }
 
-  bool IsCertain() const {
+  bool IsValid() const {
     if (!epoch_) return false;
     if (suspended_() - suspended_at_renewal_ >= kMargin) return false;
-    return SinceRenewal() + kMargin < options_.length;
+    return TimeSinceRenewal() + kMargin < options_.duration;
   }
 
-  base::Duration SinceRenewal() const {
+  base::Duration TimeSinceRenewal() const {
     return loop_.Now() - renewed_at_ + suspended_() - suspended_at_renewal_;
   }
 
@@ -97,7 +97,7 @@
     on_take_answered_ = std::move(done);
   }
 
-  void Drop(const std::string& reason) {
+  void MarkLost(const std::string& reason) {
     if (!epoch_) return;
     epoch_.reset();
     is_aging_ = false;
@@ -126,9 +126,11 @@
   }
 
   void ReleaseAgain(Epoch epoch, const std::function<void()>& done) {
-    loop_.After(options_.retry_every, [weak = weak_from_this(), epoch, done] {
-      if (const auto self = weak.lock()) self->WriteRelease(epoch, done);
-    });
+    loop_.After(options_.retry_interval,
+                [weak = weak_from_this(), epoch, done] {
+                  if (const auto self = weak.lock())
+                    self->WriteRelease(epoch, done);
+                });
   }
 
   static store::RowCondition Condition(std::string_view key,
@@ -166,7 +168,7 @@
     if (has_changed || !is_aging_) {
       is_aging_ = true;
       ++watch_;
-      const auto wait = IsFormerGone() ? base::Duration(0) : options_.length;
+      const auto wait = IsFormerGone() ? base::Duration(0) : options_.duration;
       ArmTake(wait + Spread());
     }
   }
@@ -187,13 +189,13 @@
   /// The feed may be ahead of the answers to this holder's own renewals, so
   /// only the epoch tells that another one took the service.
   void CheckStillOwner() {
-    if (epoch_ && epoch_row_ > *epoch_) Drop("another process took it");
+    if (epoch_ && epoch_row_ > *epoch_) MarkLost("another process took it");
   }
 
   base::Duration Spread() {
-    std::uniform_int_distribution<std::int64_t> range(0,
-                                                      options_.spread.count());
-    return base::Duration(range(random_)) + options_.handicap;
+    std::uniform_int_distribution<std::int64_t> range(
+        0, options_.max_jitter.count());
+    return base::Duration(range(random_)) + options_.takeover_delay;
   }
 
   void ArmTake(base::Duration delay) {
@@ -244,7 +246,7 @@
     if (epoch_) return;
     is_aging_ = false;
     ++watch_;
-    loop_.After(options_.retry_every, [weak = weak_from_this()] {
+    loop_.After(options_.retry_interval, [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (self && !self->epoch_ && !self->is_aging_) self->OnRows({});
     });
@@ -260,7 +262,7 @@
     open_take_.reset();
     ++watch_;
     ArmNextRenewal();
-    events_.on_taken(version, take.is_former_gone);
+    events_.on_acquired(version, take.is_former_gone);
   }
 
   // As the holder.
@@ -274,7 +276,7 @@
 
   /// At once when the last one took as long as the pause between two.
   void ArmNextRenewal() {
-    const auto next = renewed_at_ + options_.renew_every - loop_.Now();
+    const auto next = renewed_at_ + options_.renewal_interval - loop_.Now();
     ArmRenewal(std::max(next, base::Duration(0)));
   }
 
@@ -304,9 +306,10 @@
     }
     const auto* conflict = std::get_if<RowsConflict>(&result);
     if (conflict != nullptr && !IsStillMine(conflict->present)) {
-      return Drop("another process took it");
+      return MarkLost("another process took it");
     }
-    ArmRenewal(conflict != nullptr ? base::Duration(0) : options_.retry_every);
+    ArmRenewal(conflict != nullptr ? base::Duration(0)
+                                   : options_.retry_interval);
   }
 
   /// A renewal without an answer may have been done: then the lease row is this
@@ -328,7 +331,7 @@
   const std::string holder_;
   const std::function<base::Duration()> suspended_;
   const OwnerLeaseOptions options_;
-  const OwnerLeaseEvents events_;
+  const OwnerLeaseCallbacks events_;
   base::Random random_;
   std::optional<store::FeedFollower> follower_;
 
@@ -359,7 +362,7 @@
 OwnerLease::OwnerLease(base::EventLoop& loop, store::RowStore& store,
                        base::ServiceName service, const std::string& vm,
                        std::function<base::Duration()> suspended,
-                       OwnerLeaseOptions options, OwnerLeaseEvents events)
+                       OwnerLeaseOptions options, OwnerLeaseCallbacks events)
     : impl_(std::make_shared<Impl>(loop, store, std::move(service), vm,
                                    std::move(suspended), options,
                                    std::move(events))) {}
@@ -368,10 +371,10 @@
 
 void OwnerLease::Start() { impl_->Start(); }
 
-bool OwnerLease::IsCertain() const { return impl_->IsCertain(); }
+bool OwnerLease::IsValid() const { return impl_->IsValid(); }
 
-base::Duration OwnerLease::SinceRenewal() const {
-  return impl_->SinceRenewal();
+base::Duration OwnerLease::TimeSinceRenewal() const {
+  return impl_->TimeSinceRenewal();
 }
 
 bool OwnerLease::is_holder() const { return impl_->is_holder(); }
@@ -380,6 +383,8 @@
   impl_->Release(std::move(done));
 }
 
-void OwnerLease::Drop(const std::string& reason) { impl_->Drop(reason); }
+void OwnerLease::MarkLost(const std::string& reason) {
+  impl_->MarkLost(reason);
+}
 
 }  // namespace lapishatch::dispatch
--- a/src/dispatch/owner_lease.h
+++ b/src/dispatch/owner_lease.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "base/base.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 #include "store/feed_follower.h"
 #include "store/row_store.h"
 
@@ -26,28 +26,28 @@
 struct OwnerLeaseOptions {
   /// How long a renewal counts, from before it was sent. A service has no owner
   /// for about as long after a kill.
-  base::Duration length{2'000};
-  base::Duration renew_every{500};
-  base::Duration retry_every{200};
+  base::Duration duration{2'000};
+  base::Duration renewal_interval{500};
+  base::Duration retry_interval{200};
   /// Most that a candidate waits beyond `length`, at random, so that not all
   /// try at once.
-  base::Duration spread{150};
+  base::Duration max_jitter{150};
   /// What a candidate on a weak VM waits beyond that, so that a strong one goes
-  /// before it; see HandicapOf.
-  base::Duration handicap{0};
+  /// before it; see TakeoverDelayFor.
+  base::Duration takeover_delay{0};
   store::FollowerOptions follow;
 };
 
 /// How much longer than others a candidate waits whose VM has `cores` (a share
 /// of one, or several): a weak VM owns a large service only where there is no
 /// strong one.
-base::Duration HandicapOf(double cores);
+base::Duration TakeoverDelayFor(double cores);
 
 /// What the lease tells its owner. Called on the loop.
-struct OwnerLeaseEvents {
+struct OwnerLeaseCallbacks {
   /// This process owns the service under `epoch` from now on. `former_is_gone`:
   /// no former owner acts any more, rather than perhaps being cut off.
-  std::function<void(Epoch epoch, bool former_is_gone)> on_taken;
+  std::function<void(Epoch epoch, bool predecessor_stopped)> on_acquired;
   /// It owns it no longer.
   std::function<void(const std::string& reason)> on_lost;
 };
@@ -65,7 +65,7 @@
   OwnerLease(base::EventLoop& loop, store::RowStore& store,
              base::ServiceName service, const std::string& vm,
              std::function<base::Duration()> suspended,
-             OwnerLeaseOptions options, OwnerLeaseEvents events);
+             OwnerLeaseOptions options, OwnerLeaseCallbacks events);
   ~OwnerLease();
   OwnerLease(const OwnerLease&) = delete;
   OwnerLease& operator=(const OwnerLease&) = delete;
@@ -73,10 +73,10 @@
   void Start();
 
   /// Whether this process certainly is the only owner at this moment.
-  bool IsCertain() const;
+  bool IsValid() const;
 
   /// Time since the last renewal that succeeded was sent.
-  base::Duration SinceRenewal() const;
+  base::Duration TimeSinceRenewal() const;
 
   bool is_holder() const;
 
@@ -86,7 +86,7 @@
   void Release(std::function<void()> done);
 
   /// The holder has seen that another process owns the service.
-  void Drop(const std::string& reason);
+  void MarkLost(const std::string& reason);
 
  private:
   class Impl;
--- a/src/dispatch/recorder.cc
+++ b/src/dispatch/recorder.cc
@@ -27,28 +27,29 @@
 
 class Recorder::Impl : public std::enable_shared_from_this<Impl> {
  public:
-  Impl(base::EventLoop& loop, store::RowStore& store, std::string part,
-       int index, RowVersion fence, JobBook& book, RecorderOptions options,
-       std::function<void(const std::string&)> on_lost)
+  Impl(base::EventLoop& loop, store::RowStore& store, std::string partition,
+       int partition_index, RowVersion fence_version, JobBook& book,
+       RecorderOptions options, std::function<void(const std::string&)> on_lost)
       : loop_(loop),
         store_(store),
-        part_(std::move(part)),
-        fence_(fence),
+        partition_(std::move(partition)),
+        fence_version_(fence_version),
         book_(book),
-        dirty_(book.dirty(index)),
+        dirty_(book.dirty(partition_index)),
         options_(options),
         on_lost_(std::move(on_lost)),
-        random_(fence),
-        backoff_(options.retry_first, options.retry_limit) {}
+        random_(fence_version),
+        backoff_(options.initial_backoff, options.max_backoff) {}
 
   /// A timer is armed at the earliest time at which something is due and a
   /// transaction may be sent.
-  void Kick() {
+  void ScheduleWrite() {
     if (!writing_.empty() || is_sending_ || is_backing_off_) return;
     if (dirty_.empty()) return;
     auto due = base::TimePoint::max();
     for (const auto& [job, time] : dirty_) due = std::min(due, time);
-    const auto at = std::max({due, last_sent_ + options_.spacing, loop_.Now()});
+    const auto at =
+        std::max({due, last_sent_ + options_.min_write_interval, loop_.Now()});
     if (armed_at_ && *armed_at_ <= at) return;
     armed_at_ = at;
     Arm(at - loop_.Now());
@@ -69,10 +70,10 @@
     if (waiter.batches.empty()) return loop_.Post(std::move(done));
     waiter.done = std::move(done);
     waiting_.push_back(std::move(waiter));
-    Kick();
+    ScheduleWrite();
   }
 
-  RowVersion fence() const { return fence_; }
+  RowVersion fence_version() const { return fence_version_; }
 
   bool IsRecorded(const base::JobName& name) const {
     auto* job = book_.Find(name);
@@ -100,12 +101,12 @@
 
   /// Writes what is due, or will be before the next transaction could be sent.
   void Write() {
-    const auto latest = loop_.Now() + options_.spacing;
+    const auto latest = loop_.Now() + options_.min_write_interval;
     const std::string table(jobs::kProgressTable);
     store::RowTransaction out;
-    out.part = part_;
+    out.part = partition_;
     out.conditions.push_back(
-        {std::string(kOwnerTable), std::string(kFenceKey), fence_});
+        {std::string(kOwnerTable), std::string(kFenceKey), fence_version_});
     std::size_t bytes = 0;
     for (auto it = dirty_.begin(); it != dirty_.end();) {
       if (writing_.size() >= kMostJobs || bytes >= kMostValueBytes) break;
@@ -122,7 +123,7 @@
       out.puts.push_back({table, key, std::move(value)});
       writing_.insert(job->job->name);
     }
-    if (writing_.empty()) return Kick();
+    if (writing_.empty()) return ScheduleWrite();
     ++batch_;
     Send(std::move(out));
   }
@@ -158,7 +159,7 @@
     const auto written = std::exchange(writing_, {});
     const auto weak = weak_from_this();
     CallWaiters(written);
-    if (const auto self = weak.lock()) Kick();
+    if (const auto self = weak.lock()) ScheduleWrite();
   }
 
   /// Calls those whose changes are all written by now.
@@ -195,7 +196,7 @@
         versions[it.address.key] = it.version;
       }
     }
-    if (fence != fence_) {
+    if (fence != fence_version_) {
       return on_lost_("the store's fence row shows another owner");
     }
     for (const auto& name : writing_) {
@@ -209,7 +210,7 @@
 
   void Again(const std::string& detail) {
     base::Log(base::events::kRecordDelayed,
-              {{"part", part_}, {"detail", detail}});
+              {{"part", partition_}, {"detail", detail}});
     for (const auto& name : writing_) {
       if (auto* job = book_.Find(name)) dirty_[job] = loop_.Now();
     }
@@ -220,8 +221,8 @@
 
   base::EventLoop& loop_;
   store::RowStore& store_;
-  const std::string part_;
-  const RowVersion fence_;
+  const std::string partition_;
+  const RowVersion fence_version_;
   JobBook& book_;
   JobBook::DirtyJobs& dirty_;
   const RecorderOptions options_;
@@ -244,15 +245,17 @@
 };
 
 Recorder::Recorder(base::EventLoop& loop, store::RowStore& store,
-                   std::string part, int index, store::RowVersion fence,
-                   JobBook& book, RecorderOptions options,
+                   std::string partition, int partition_index,
+                   store::RowVersion fence_version, JobBook& book,
+                   RecorderOptions options,
                    std::function<void(const std::string&)> on_lost)
-    : impl_(std::make_shared<Impl>(loop, store, std::move(part), index, fence,
-                                   book, options, std::move(on_lost))) {}
+    : impl_(std::make_shared<Impl>(loop, store, std::move(partition),
+                                   partition_index, fence_version, book,
+                                   options, std::move(on_lost))) {}
 
 Recorder::~Recorder() = default;
 
-void Recorder::Kick() { impl_->Kick(); }
+void Recorder::ScheduleWrite() { impl_->ScheduleWrite(); }
 
 void Recorder::WhenRecorded(const std::vector<base::JobName>& jobs,
                             std::function<void()> done) {
@@ -263,6 +266,8 @@
   return impl_->IsRecorded(job);
 }
 
-store::RowVersion Recorder::fence() const { return impl_->fence(); }
+store::RowVersion Recorder::fence_version() const {
+  return impl_->fence_version();
+}
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/service_owner.cc
+++ b/src/dispatch/service_owner.cc
@@ -8,12 +8,12 @@
 
 class ServiceOwner::Impl {
  public:
-  Impl(ServiceOwnerPorts ports, base::ServiceName service,
+  Impl(ServiceOwnerDependencies ports, base::ServiceName service,
        const std::string& vm, ServiceOwnerOptions options)
       : ports_(std::move(ports)),
         service_(std::move(service)),
         options_(options),
-        lease_(ports_.loop, ports_.store, service_, vm, ports_.suspended,
+        lease_(ports_.loop, ports_.store, service_, vm, ports_.suspended_time,
                options.lease,
                {[this](Epoch epoch, bool former_is_gone) {
                   OnTaken(epoch, former_is_gone);
@@ -22,13 +22,13 @@
 
   void Start() { lease_.Start(); }
 
-  void PutWorker(const WorkerEntry& entry) {
-    if (entry.service != service_) {
-      if (workers_.contains(entry.name)) RemoveWorker(entry.name);
+  void PutWorker(const WorkerRegistration& registration) {
+    if (registration.service != service_) {
+      if (workers_.contains(registration.name)) RemoveWorker(registration.name);
       return;
     }
-    workers_[entry.name] = entry;
-    if (owned_) owned_->PutWorker(entry);
+    workers_[registration.name] = registration;
+    if (owned_) owned_->PutWorker(registration);
   }
 
   void RemoveWorker(const base::WorkerName& name) {
@@ -56,19 +56,22 @@
                {"epoch", epoch},
                {"former_is_gone", former_is_gone ? "yes" : "unknown"}});
     const internal::OwnerRights rights{
-        [this] { return lease_.IsCertain(); },
+        [this] { return lease_.IsValid(); },
         [this] {
           return lease_.is_holder() &&
-                 lease_.SinceRenewal() < options_.orphan_limit;
+                 lease_.TimeSinceRenewal() < options_.outage_renewal_limit;
         },
-        [this] { return options_.orphan_reach - lease_.SinceRenewal(); },
-        [this](const std::string& reason) { lease_.Drop(reason); }};
+        [this] {
+          return options_.outage_lease_limit - lease_.TimeSinceRenewal();
+        },
+        [this](const std::string& reason) { lease_.MarkLost(reason); }};
     owned_ = std::make_shared<internal::OwnedService>(
         ports_, service_, epoch, former_is_gone, options_, rights);
     owned_->SetGuarantees(guarantees_);
-    for (const auto& [name, entry] : workers_) owned_->PutWorker(entry);
+    for (const auto& [name, registration] : workers_)
+      owned_->PutWorker(registration);
     owned_->Start();
-    if (ports_.on_ownership) ports_.on_ownership(true);
+    if (ports_.on_ownership_change) ports_.on_ownership_change(true);
   }
 
   void OnLost(const std::string& reason) {
@@ -81,20 +84,21 @@
     if (!owned_) return;
     owned_.reset();
     workers_.clear();
-    if (ports_.on_ownership) ports_.on_ownership(false);
+    if (ports_.on_ownership_change) ports_.on_ownership_change(false);
   }
 
-  const ServiceOwnerPorts ports_;
+  const ServiceOwnerDependencies ports_;
   const base::ServiceName service_;
   const ServiceOwnerOptions options_;
   OwnerLease lease_;
   std::shared_ptr<internal::OwnedService> owned_;
-  std::map<base::WorkerName, WorkerEntry> workers_;
+  std::map<base::WorkerName, WorkerRegistration> workers_;
   std::map<base::OrganisationName, std::int64_t> guarantees_;
 };
 
-ServiceOwner::ServiceOwner(ServiceOwnerPorts ports, base::ServiceName service,
-                           const std::string& vm, ServiceOwnerOptions options)
+ServiceOwner::ServiceOwner(ServiceOwnerDependencies ports,
+                           base::ServiceName service, const std::string& vm,
+                           ServiceOwnerOptions options)
     : impl_(std::make_unique<Impl>(std::move(ports), std::move(service), vm,
                                    options)) {}
 
@@ -102,8 +106,8 @@
 
 void ServiceOwner::Start() { impl_->Start(); }
 
-void ServiceOwner::PutWorker(const WorkerEntry& entry) {
-  impl_->PutWorker(entry);
+void ServiceOwner::PutWorker(const WorkerRegistration& registration) {
+  impl_->PutWorker(registration);
 }
 
 void ServiceOwner::RemoveWorker(const base::WorkerName& name) {
--- a/src/dispatch/silent_domains.cc
+++ b/src/dispatch/silent_domains.cc
@@ -9,26 +9,27 @@
     const std::vector<PollState>& polls, const SilentDomainOptions& options,
     base::TimePoint now) {
   struct Domain {
-    base::TimePoint answered{};
+    base::TimePoint last_answer{};
     int missing = 0;
   };
   std::map<base::DomainName, Domain> domains;
   base::TimePoint newest{};
   for (const auto& it : polls) {
     auto& domain = domains[it.domain];
-    domain.answered = std::max(domain.answered, it.answered);
-    newest = std::max(newest, it.answered);
+    domain.last_answer = std::max(domain.last_answer, it.last_answer);
+    newest = std::max(newest, it.last_answer);
   }
   for (const auto& it : polls) {
     auto& domain = domains[it.domain];
-    const bool is_missing =
-        it.due <= now - options.grace && it.due > domain.answered;
+    const bool is_missing = it.answer_due <= now - options.answer_grace &&
+                            it.answer_due > domain.last_answer;
     if (is_missing) ++domain.missing;
   }
   std::set<base::DomainName> out;
   for (const auto& [name, domain] : domains) {
-    const bool others_answer = newest >= domain.answered + options.grace;
-    if (others_answer && domain.missing >= options.least_missing) {
+    const bool others_answer =
+        newest >= domain.last_answer + options.answer_grace;
+    if (others_answer && domain.missing >= options.min_missing) {
       out.insert(name);
     }
   }
--- a/src/dispatch/start_window.cc
+++ b/src/dispatch/start_window.cc
@@ -6,20 +6,21 @@
 
 bool StartWindow::OnAnswer(std::optional<base::Duration> took,
                            base::TimePoint now) {
-  ++answers_;
-  if (!took || *took > options_.late) ++late_;
-  const bool is_enough =
-      answers_ >= options_.answers && now - period_began_ >= options_.period;
-  if (!is_enough) return false;
-  const double share = static_cast<double>(late_) / answers_;
-  const bool is_used = most_used_ >= options_.used_share * size_;
-  answers_ = 0;
-  late_ = 0;
-  most_used_ = 0;
-  period_began_ = now;
-  if (share > options_.shrinks_above) return Resize(options_.shrinks_to);
-  if (share < options_.grows_below && is_used) {
-    return Resize(options_.grows_to);
+  ++answer_count_;
+  if (!took || *took > options_.late_after) ++late_count_;
+  const bool is_period_over = answer_count_ >= options_.min_answers &&
+                              now - period_start_ >= options_.min_period;
+  if (!is_period_over) return false;
+  const double late_share = static_cast<double>(late_count_) / answer_count_;
+  const bool is_used = max_in_flight_ >= options_.min_used_share * size_;
+  answer_count_ = 0;
+  late_count_ = 0;
+  max_in_flight_ = 0;
+  period_start_ = now;
+  if (late_share > options_.shrink_above_late_share)
+    return Resize(options_.shrink_factor);
+  if (late_share < options_.grow_below_late_share && is_used) {
+    return Resize(options_.growth_factor);
   }
   return false;
 }
@@ -27,7 +28,7 @@
 bool StartWindow::Resize(double factor) {
   const int wanted = static_cast<int>(size_ * factor);
   const int before = size_;
-  size_ = std::clamp(wanted, options_.least, options_.most);
+  size_ = std::clamp(wanted, options_.min_size, options_.max_size);
   return size_ != before;
 }
 
--- a/src/dispatch/worker_port.h
+++ b/src/dispatch/worker_client.h
@@ -1,5 +1,5 @@
-#ifndef LAPISHATCH_DISPATCH_WORKER_PORT_H_
-#define LAPISHATCH_DISPATCH_WORKER_PORT_H_
+#ifndef LAPISHATCH_DISPATCH_WORKER_CLIENT_H_
+#define LAPISHATCH_DISPATCH_WORKER_CLIENT_H_
 
 #include <cstdint>
 #include <functional>
@@ -20,11 +20,11 @@
 using Epoch = std::uint64_t;
 
 /// Milliseconds on one worker's own steady clock, which may be 2% slow.
-using WorkerClock = std::int64_t;
+using WorkerTime = std::int64_t;
 
 /// A worker as it registered itself. Its name is one life of it: after a crash
 /// it has another one.
-struct WorkerEntry {
+struct WorkerRegistration {
   base::WorkerName name;
   base::ServiceName service;
   http::Endpoint endpoint;
@@ -35,9 +35,10 @@
   /// About to leave: what runs there may go on for a while, nothing new starts.
   bool is_draining = false;
   /// While draining: it stays at least so much longer.
-  std::optional<base::Duration> stays;
+  std::optional<base::Duration> remaining_time;
 
-  friend bool operator==(const WorkerEntry&, const WorkerEntry&) = default;
+  friend bool operator==(const WorkerRegistration&,
+                         const WorkerRegistration&) = default;
 };
 
 /// The life of a worker that an order is meant for.
@@ -54,20 +55,20 @@
   std::string spec;
   /// When the worker is to refuse the order as late. Its lease reaches at least
   /// until then.
-  WorkerClock expires = 0;
+  WorkerTime expires_at = 0;
   Epoch epoch = 0;
   /// What to go on from; empty for the beginning.
   std::string checkpoint;
 };
 
-enum class Refusal : std::uint8_t {
+enum class RefusalReason : std::uint8_t {
   /// The worker has seen a higher epoch.
-  kEpoch,
+  kStaleEpoch,
   /// A run as high as this one has ended or was stopped there.
-  kOldRun,
+  kStaleRun,
   /// `expires` has passed.
-  kLate,
-  kNoRoom,
+  kExpired,
+  kInsufficientCapacity,
   kInvalid,
   /// The worker takes nothing now.
   kUnhealthy,
@@ -78,11 +79,11 @@
 
 /// Nothing runs because of this order.
 struct Refused {
-  Refusal reason = Refusal::kInvalid;
+  RefusalReason reason = RefusalReason::kInvalid;
 };
 
 /// Another life is at this address: the one that was meant is over.
-struct OtherLife {};
+struct OtherIncarnation {};
 
 /// No byte of the order was sent.
 struct NotSent {
@@ -95,7 +96,7 @@
 };
 
 using StartResult =
-    std::variant<Started, Refused, OtherLife, NotSent, NoAnswer>;
+    std::variant<Started, Refused, OtherIncarnation, NotSent, NoAnswer>;
 
 struct StopOrder {
   jobs::TaskName task;
@@ -107,18 +108,19 @@
 /// and is then listed as ended.
 struct Stopped {};
 
-using StopResult = std::variant<Stopped, Refused, OtherLife, NotSent, NoAnswer>;
+using StopResult =
+    std::variant<Stopped, Refused, OtherIncarnation, NotSent, NoAnswer>;
 
 /// Extends the lease of everything on the worker and asks what runs there.
-struct HoldOrder {
+struct PollOrder {
   Epoch epoch = 0;
   /// Ends up to this number are recorded and may be forgotten.
-  std::uint64_t ends_recorded = 0;
+  std::uint64_t last_recorded_end = 0;
   /// When everything on the worker is killed unless told otherwise; never
   /// shortens.
-  std::optional<WorkerClock> expires;
+  std::optional<WorkerTime> lease_expires_at;
   /// The worker answers sooner only when a task ends.
-  base::Duration wait{0};
+  base::Duration max_wait{0};
 };
 
 struct RunningTask {
@@ -129,43 +131,43 @@
   int percent = 0;
 };
 
-enum class EndKind : std::uint8_t {
+enum class TaskOutcome : std::uint8_t {
   kDone,
   /// By its own fault or the worker's.
   kFailed,
   kStopped,
   /// The worker's lease ran out.
-  kLapsed,
+  kLeaseExpired,
   /// Another task of the gang ended.
-  kBroken,
+  kGangBroken,
   /// The rest of the gang did not come in time.
-  kAlone,
+  kGangIncomplete,
 };
 
 struct EndedTask {
   /// Counts the ends of this life of the worker from 1.
-  std::uint64_t number = 0;
+  std::uint64_t sequence_number = 0;
   jobs::TaskName task;
   int run = 0;
-  EndKind kind = EndKind::kFailed;
+  TaskOutcome outcome = TaskOutcome::kFailed;
   std::string checkpoint;
 };
 
-struct WorkerNews {
-  WorkerClock clock = 0;
+struct WorkerReport {
+  WorkerTime worker_time = 0;
   std::vector<RunningTask> running;
-  /// Those after `ends_recorded`, in order; perhaps not all at once.
+  /// Those after `last_recorded_end`, in order; perhaps not all at once.
   std::vector<EndedTask> ended;
 };
 
-using HoldResult =
-    std::variant<WorkerNews, Refused, OtherLife, NotSent, NoAnswer>;
+using PollResult =
+    std::variant<WorkerReport, Refused, OtherIncarnation, NotSent, NoAnswer>;
 
 /// Speaks to workers. Every call ends in exactly one callback, on the caller's
 /// event loop.
-class WorkerPort {
+class WorkerClient {
  public:
-  virtual ~WorkerPort() = default;
+  virtual ~WorkerClient() = default;
 
   virtual void Start(const WorkerAddress& worker, StartOrder order,
                      base::Duration timeout,
@@ -176,24 +178,24 @@
                     std::function<void(StopResult)> done) = 0;
 
   /// `timeout` holds the order's wait.
-  virtual void Hold(const WorkerAddress& worker, HoldOrder order,
+  virtual void Poll(const WorkerAddress& worker, PollOrder order,
                     base::Duration timeout,
-                    std::function<void(HoldResult)> done) = 0;
+                    std::function<void(PollResult)> done) = 0;
 };
 
 }  // namespace lapishatch::dispatch
 
 namespace lapishatch::base {
 template <>
-struct EnumNames<dispatch::Refusal> {
+struct EnumNames<dispatch::RefusalReason> {
   static constexpr std::array<std::string_view, 6> kNames = {
       "epoch", "old-run", "late", "no-room", "invalid", "unhealthy"};
 };
 template <>
-struct EnumNames<dispatch::EndKind> {
+struct EnumNames<dispatch::TaskOutcome> {
   static constexpr std::array<std::string_view, 6> kNames = {
       "done", "failed", "stopped", "lapsed", "broken", "alone"};
 };
 }  // namespace lapishatch::base
 
-#endif  // LAPISHATCH_DISPATCH_WORKER_PORT_H_
+#endif  // LAPISHATCH_DISPATCH_WORKER_CLIENT_H_
--- a/src/dispatch/worker_health.cc
+++ b/src/dispatch/worker_health.cc
@@ -3,14 +3,14 @@
 namespace lapishatch::dispatch::internal {
 
 bool WorkerHealth::OnEnded(const base::WorkerName& worker,
-                           const base::JobName& job, EndKind kind,
+                           const base::JobName& job, TaskOutcome kind,
                            std::size_t fleet_size, base::TimePoint now) {
-  if (kind == EndKind::kDone) {
+  if (kind == TaskOutcome::kDone) {
     records_.erase(worker);
     failed_at_.erase(worker);
     return false;
   }
-  if (kind != EndKind::kFailed) return false;
+  if (kind != TaskOutcome::kFailed) return false;
   failed_at_[worker] = now;
   auto& record = records_[worker];
   ++record.failures;
--- a/src/dispatch/worker_session.cc
+++ b/src/dispatch/worker_session.cc
@@ -7,186 +7,203 @@
 
 class WorkerSession::Impl : public std::enable_shared_from_this<Impl> {
  public:
-  Impl(base::EventLoop& loop, WorkerPort& port, WorkerEntry entry, Epoch epoch,
-       SessionOptions options, Events events)
+  Impl(base::EventLoop& loop, WorkerClient& client,
+       WorkerRegistration registration, Epoch epoch, SessionOptions options,
+       Events events)
       : loop_(loop),
-        port_(port),
-        entry_(std::move(entry)),
+        client_(client),
+        registration_(std::move(registration)),
         epoch_(epoch),
         options_(options),
         events_(std::move(events)) {}
 
   /// `wait` is zero for a look that is answered at once.
-  void Hold(base::Duration wait) {
+  void Poll(base::Duration wait) {
     if (!events_.may_renew()) {
-      is_reached_ = false;
-      return ArmHold(options_.retry);
+      is_reachable_ = false;
+      return ArmPoll(options_.retry_delay);
     }
-    ++turn_;
-    HoldOrder order;
+    ++poll_number_;
+    PollOrder order;
     order.epoch = epoch_;
-    order.ends_recorded = recorded_;
-    order.wait = wait;
+    order.last_recorded_end = last_recorded_end_;
+    order.max_wait = wait;
     // A worker that did not answer is only asked, not renewed, until it does:
     // otherwise it could never be certain that its lease has run out.
-    if (is_heard_ && is_reached_) {
-      const auto lease = std::min(options_.lease, events_.longest_lease());
-      order.expires = Clock() + lease.count();
-      NoteExpiry(*order.expires);
+    if (has_answered_ && is_reachable_) {
+      const auto lease = std::min(options_.lease_duration, events_.max_lease());
+      order.lease_expires_at = EstimatedWorkerTime() + lease.count();
+      NoteLeaseExpiry(*order.lease_expires_at);
     }
     const auto sent = loop_.Now();
     answer_due_ = std::min(answer_due_, sent + wait);
-    port_.Hold({entry_.name, entry_.endpoint}, order,
-               wait + options_.answer_timeout,
-               [weak = weak_from_this(), sent](HoldResult result) {
-                 if (const auto self = weak.lock()) {
-                   self->OnResult(std::move(result), sent);
-                 }
-               });
+    client_.Poll({registration_.name, registration_.endpoint}, order,
+                 wait + options_.answer_timeout,
+                 [weak = weak_from_this(), sent](PollResult result) {
+                   if (const auto self = weak.lock()) {
+                     self->OnResult(std::move(result), sent);
+                   }
+                 });
   }
 
-  WorkerClock Clock() const {
-    return clock_ + (loop_.Now() - clock_at_).count();
+  WorkerTime EstimatedWorkerTime() const {
+    return reported_worker_time_ + (loop_.Now() - last_answer_at_).count();
   }
 
-  bool HasLapsed() const {
-    const auto passed = static_cast<double>((loop_.Now() - clock_at_).count());
+  bool HasLeaseExpired() const {
+    const auto passed =
+        static_cast<double>((loop_.Now() - last_answer_at_).count());
     const auto at_least =
-        clock_ + static_cast<WorkerClock>(passed * (1 - options_.clock_drift));
-    return at_least > latest_expiry_ + options_.clock_slack.count();
+        reported_worker_time_ +
+        static_cast<WorkerTime>(passed * (1 - options_.max_clock_drift));
+    return at_least > lease_expires_at_ + options_.clock_margin.count();
   }
 
-  bool IsReached() const {
-    const auto silence = loop_.Now() - clock_at_;
-    return is_reached_ && silence < options_.wait + options_.answer_timeout;
+  bool IsReachable() const {
+    const auto silence = loop_.Now() - last_answer_at_;
+    return is_reachable_ &&
+           silence < options_.poll_wait + options_.answer_timeout;
   }
 
-  void NoteExpiry(WorkerClock expires) {
-    latest_expiry_ = std::max(latest_expiry_, expires);
+  void NoteLeaseExpiry(WorkerTime expires) {
+    lease_expires_at_ = std::max(lease_expires_at_, expires);
   }
 
-  void EndsRecorded(std::uint64_t number) {
-    recorded_ = std::max(recorded_, number);
-    if (!is_waiting_for_record_ || recorded_ < received_) return;
+  void OnEndsRecorded(std::uint64_t end) {
+    last_recorded_end_ = std::max(last_recorded_end_, end);
+    if (!is_waiting_for_record_ || last_recorded_end_ < last_received_end_)
+      return;
     is_waiting_for_record_ = false;
-    Hold(options_.wait);
+    Poll(options_.poll_wait);
   }
 
  private:
   friend class WorkerSession;
 
-  void OnResult(HoldResult result, base::TimePoint sent) {
-    if (auto* news = std::get_if<WorkerNews>(&result)) {
-      return OnNews(std::move(*news), sent);
+  void OnResult(PollResult result, base::TimePoint sent) {
+    if (auto* report = std::get_if<WorkerReport>(&result)) {
+      return OnReport(std::move(*report), sent);
     }
-    if (std::holds_alternative<OtherLife>(result)) {
-      return events_.on_other_life();
+    if (std::holds_alternative<OtherIncarnation>(result)) {
+      return events_.on_other_incarnation();
     }
     if (const auto* refused = std::get_if<Refused>(&result)) {
-      if (refused->reason == Refusal::kEpoch) return events_.on_superseded();
+      if (refused->reason == RefusalReason::kStaleEpoch)
+        return events_.on_superseded();
     }
-    is_reached_ = false;
-    ArmHold(options_.retry);
+    is_reachable_ = false;
+    ArmPoll(options_.retry_delay);
   }
 
-  void OnNews(WorkerNews news, base::TimePoint sent) {
-    if (!is_heard_) {
+  void OnReport(WorkerReport report, base::TimePoint sent) {
+    if (!has_answered_) {
       // A former owner may have sent a renewal until now, under this lease's
       // length; from this call on the worker refuses its orders.
-      NoteExpiry(news.clock + options_.lease.count() +
-                 options_.clock_slack.count());
+      NoteLeaseExpiry(report.worker_time + options_.lease_duration.count() +
+                      options_.clock_margin.count());
     }
-    is_heard_ = true;
-    is_reached_ = true;
-    clock_ = news.clock;
-    clock_at_ = loop_.Now();
+    has_answered_ = true;
+    is_reachable_ = true;
+    reported_worker_time_ = report.worker_time;
+    last_answer_at_ = loop_.Now();
     answer_due_ = base::TimePoint::max();
-    std::erase_if(news.ended, [this](const EndedTask& it) {
-      return it.number <= received_;
+    std::erase_if(report.ended, [this](const EndedTask& it) {
+      return it.sequence_number <= last_received_end_;
     });
-    if (!news.ended.empty()) received_ = news.ended.back().number;
-    is_waiting_for_record_ = received_ > recorded_;
-    const auto turn = turn_;
+    if (!report.ended.empty())
+      last_received_end_ = report.ended.back().sequence_number;
+    is_waiting_for_record_ = last_received_end_ > last_recorded_end_;
+    const auto poll_number = poll_number_;
     const auto weak = weak_from_this();
-    events_.on_news(std::move(news), sent);
+    events_.on_report(std::move(report), sent);
     const auto self = weak.lock();
-    if (!self || turn_ != turn) return;
-    if (!is_waiting_for_record_) return Hold(options_.wait);
-    ArmHold(options_.record_patience);
+    if (!self || poll_number_ != poll_number) return;
+    if (!is_waiting_for_record_) return Poll(options_.poll_wait);
+    ArmPoll(options_.max_record_wait);
   }
 
-  void ArmHold(base::Duration delay) {
-    loop_.After(delay, [weak = weak_from_this(), turn = turn_] {
+  void ArmPoll(base::Duration delay) {
+    loop_.After(delay, [weak = weak_from_this(), poll_number = poll_number_] {
       const auto self = weak.lock();
-      if (!self || self->turn_ != turn) return;
+      if (!self || self->poll_number_ != poll_number) return;
       self->is_waiting_for_record_ = false;
-      self->Hold(base::Duration(0));
+      self->Poll(base::Duration(0));
     });
   }
 
   base::EventLoop& loop_;
-  WorkerPort& port_;
-  WorkerEntry entry_;
+  WorkerClient& client_;
+  WorkerRegistration registration_;
   const Epoch epoch_;
   const SessionOptions options_;
   const Events events_;
 
-  bool is_heard_ = false;
-  bool is_reached_ = false;
+  bool has_answered_ = false;
+  bool is_reachable_ = false;
   /// The worker's clock in its last answer, and when that came.
-  WorkerClock clock_ = 0;
-  base::TimePoint clock_at_{};
+  WorkerTime reported_worker_time_ = 0;
+  base::TimePoint last_answer_at_{};
   base::TimePoint answer_due_ = base::TimePoint::max();
-  WorkerClock latest_expiry_ = 0;
-  std::uint64_t received_ = 0;
-  std::uint64_t recorded_ = 0;
+  WorkerTime lease_expires_at_ = 0;
+  std::uint64_t last_received_end_ = 0;
+  std::uint64_t last_recorded_end_ = 0;
   bool is_waiting_for_record_ = false;
   /// Counts the calls; a timer of an earlier one does nothing.
-  std::uint64_t turn_ = 0;
+  std::uint64_t poll_number_ = 0;
 };
 
-WorkerSession::WorkerSession(base::EventLoop& loop, WorkerPort& port,
-                             WorkerEntry entry, Epoch epoch,
+WorkerSession::WorkerSession(base::EventLoop& loop, WorkerClient& client,
+                             WorkerRegistration registration, Epoch epoch,
                              SessionOptions options, Events events)
-    : impl_(std::make_shared<Impl>(loop, port, std::move(entry), epoch, options,
-                                   std::move(events))) {}
+    : impl_(std::make_shared<Impl>(loop, client, std::move(registration), epoch,
+                                   options, std::move(events))) {}
 
 WorkerSession::~WorkerSession() = default;
 
-void WorkerSession::Start() { impl_->Hold(base::Duration(0)); }
+void WorkerSession::Start() { impl_->Poll(base::Duration(0)); }
 
-const WorkerEntry& WorkerSession::entry() const { return impl_->entry_; }
+const WorkerRegistration& WorkerSession::registration() const {
+  return impl_->registration_;
+}
 
-void WorkerSession::SetEntry(WorkerEntry entry) {
-  impl_->entry_ = std::move(entry);
+void WorkerSession::SetRegistration(WorkerRegistration registration) {
+  impl_->registration_ = std::move(registration);
 }
 
 WorkerAddress WorkerSession::address() const {
-  return {impl_->entry_.name, impl_->entry_.endpoint};
+  return {impl_->registration_.name, impl_->registration_.endpoint};
 }
 
-bool WorkerSession::is_heard() const { return impl_->is_heard_; }
+bool WorkerSession::has_answered() const { return impl_->has_answered_; }
 
-bool WorkerSession::IsReached() const { return impl_->IsReached(); }
+bool WorkerSession::IsReachable() const { return impl_->IsReachable(); }
 
-base::TimePoint WorkerSession::LastAnswer() const { return impl_->clock_at_; }
+base::TimePoint WorkerSession::LastAnswerTime() const {
+  return impl_->last_answer_at_;
+}
 
-base::TimePoint WorkerSession::AnswerDue() const { return impl_->answer_due_; }
+base::TimePoint WorkerSession::AnswerDueTime() const {
+  return impl_->answer_due_;
+}
 
-void WorkerSession::MarkUnreached() { impl_->is_reached_ = false; }
+void WorkerSession::MarkUnreachable() { impl_->is_reachable_ = false; }
 
-WorkerClock WorkerSession::Clock() const { return impl_->Clock(); }
+WorkerTime WorkerSession::EstimatedWorkerTime() const {
+  return impl_->EstimatedWorkerTime();
+}
 
-void WorkerSession::NoteExpiry(WorkerClock expires) {
-  impl_->NoteExpiry(expires);
+void WorkerSession::NoteLeaseExpiry(WorkerTime expires) {
+  impl_->NoteLeaseExpiry(expires);
 }
 
-bool WorkerSession::HasLapsed() const { return impl_->HasLapsed(); }
+bool WorkerSession::HasLeaseExpired() const { return impl_->HasLeaseExpired(); }
 
-std::uint64_t WorkerSession::ends_received() const { return impl_->received_; }
+std::uint64_t WorkerSession::last_received_end() const {
+  return impl_->last_received_end_;
+}
 
-void WorkerSession::EndsRecorded(std::uint64_t number) {
-  impl_->EndsRecorded(number);
+void WorkerSession::OnEndsRecorded(std::uint64_t end) {
+  impl_->OnEndsRecorded(end);
 }
 
 }  // namespace lapishatch::dispatch::internal
--- a/test/dispatch/bounds_test.cc
+++ b/test/dispatch/bounds_test.cc
@@ -10,17 +10,17 @@
 using base::Duration;
 
 TEST_CASE("the default bounds can be kept") {
-  CHECK_FALSE(ProblemOf(Bounds{}).has_value());
+  CHECK_FALSE(ValidateBounds(Bounds{}).has_value());
 }
 
 TEST_CASE("bounds that contradict each other are refused") {
   Bounds bounds;
-  bounds.stop_timeout = bounds.longest_lease;
-  CHECK(ProblemOf(bounds) ==
+  bounds.stop_timeout = bounds.max_lease;
+  CHECK(ValidateBounds(bounds) ==
         "a task must be stopped before its lease runs out");
   bounds = Bounds{};
   bounds.remote_factor = 0.5;
-  CHECK(ProblemOf(bounds) == "work off its rack cannot be faster");
+  CHECK(ValidateBounds(bounds) == "work off its rack cannot be faster");
 }
 
 /// From 100 ms to 3 s to stop a task, 1 s to 10 s to begin guaranteed work.
@@ -29,16 +29,16 @@
     for (const int start : {1'000, 2'900, 3'400, 10'000}) {
       Bounds bounds;
       bounds.stop_timeout = Duration(stop);
-      bounds.guaranteed_start = Duration(start);
+      bounds.guaranteed_start_delay = Duration(start);
       const auto planner = internal::PlannerOptionsFor(bounds);
       CHECK(planner.preempted_within > bounds.stop_timeout);
       CHECK(planner.guaranteed_slow_after >= Duration(0));
       // A preemption after the wait is over still ends in time, if any could.
       const bool is_possible =
-          planner.preempted_within < bounds.guaranteed_start;
+          planner.preempted_within < bounds.guaranteed_start_delay;
       if (!is_possible) continue;
       CHECK(planner.guaranteed_slow_after + planner.preempted_within <
-            bounds.guaranteed_start);
+            bounds.guaranteed_start_delay);
     }
   }
 }
@@ -46,8 +46,9 @@
 TEST_CASE("a lease is never longer than workers allow") {
   for (const int most : {2'000, 3'000, 6'000, 10'000, 60'000}) {
     Bounds bounds;
-    bounds.longest_lease = Duration(most);
-    CHECK(internal::SessionOptionsFor(bounds).lease < bounds.longest_lease);
+    bounds.max_lease = Duration(most);
+    CHECK(internal::SessionOptionsFor(bounds).lease_duration <
+          bounds.max_lease);
   }
 }
 
@@ -58,9 +59,9 @@
       bounds.evacuation_delay = Duration(delay);
       bounds.gang_timeout = Duration(gang);
       const auto options = OwnerOptionsFor(bounds);
-      CHECK(options.evacuations_age + options.start_window <
+      CHECK(options.max_evacuations_age + options.start_validity <
             bounds.evacuation_delay);
-      CHECK(options.start_window < bounds.gang_timeout);
+      CHECK(options.start_validity < bounds.gang_timeout);
     }
   }
 }
@@ -68,8 +69,8 @@
 TEST_CASE("a job's state outlives the time that callers may ask for it") {
   for (const int kept : {1'000, 120'000, 3'600'000}) {
     Bounds bounds;
-    bounds.state_kept = Duration(kept);
-    CHECK(OwnerOptionsFor(bounds).keep_ended > bounds.state_kept);
+    bounds.state_retention = Duration(kept);
+    CHECK(OwnerOptionsFor(bounds).ended_job_retention > bounds.state_retention);
   }
 }
 
--- a/test/dispatch/domain_evacuation_test.cc
+++ b/test/dispatch/domain_evacuation_test.cc
@@ -73,7 +73,7 @@
   world.RunFor(1'000);
   SetRunTime(world, 3'000);
   world.workers().outcome = [](const jobs::TaskName&, int run) {
-    return run == 1 ? EndKind::kFailed : EndKind::kDone;
+    return run == 1 ? TaskOutcome::kFailed : TaskOutcome::kDone;
   };
   world.Submit(OwnerWorld::MakeJob("plan", 4, 8));
   world.RunFor(500);
--- a/test/dispatch/job_book_test.cc
+++ b/test/dispatch/job_book_test.cc
@@ -34,7 +34,7 @@
   auto* job = book.Add(gang, nullptr, 0, base::Duration(0), kNow);
   auto& unit = job->runs[0][0].units[0];
   book.Plan(unit, {base::WorkerName("w0"), base::WorkerName("w1")}, kNow);
-  book.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
+  book.OnEnded(unit, 0, TaskOutcome::kFailed, "", kNow);
   CHECK(unit.failures == 1);
 
   // The record stands, the acknowledgement was not sent, the owner is gone.
@@ -43,8 +43,8 @@
   JobBook next(next_fleet);
   auto* again = next.Add(gang, &progress, 7, base::Duration(0), kNow);
   auto& restored = again->runs[0][0].units[0];
-  next.OnEnded(restored, 0, EndKind::kFailed, "", kNow);
-  next.OnEnded(restored, 1, EndKind::kBroken, "", kNow);
+  next.OnEnded(restored, 0, TaskOutcome::kFailed, "", kNow);
+  next.OnEnded(restored, 1, TaskOutcome::kGangBroken, "", kNow);
   CHECK(restored.failures == 1);
   CHECK(again->state == jobs::JobState::kRunning);
 }
@@ -55,10 +55,10 @@
   auto* job = book.Add(Shared(GangOf(1)), nullptr, 0, base::Duration(0), kNow);
   auto& unit = job->runs[0][0].units[0];
   book.Plan(unit, {base::WorkerName("w0")}, kNow);
-  book.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
+  book.OnEnded(unit, 0, TaskOutcome::kFailed, "", kNow);
   CHECK(job->state == jobs::JobState::kRunning);
   book.Plan(unit, {base::WorkerName("w0")}, kNow);
-  book.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
+  book.OnEnded(unit, 0, TaskOutcome::kFailed, "", kNow);
   CHECK(job->state == jobs::JobState::kFailed);
   CHECK(unit.last_run == 2);
 }
@@ -70,7 +70,7 @@
   auto* job = book.Add(shared, nullptr, 0, base::Duration(0), kNow);
   auto& units = job->runs[0][0].units;
   book.Plan(units[0], {base::WorkerName("w0")}, kNow);
-  book.OnEnded(units[0], 0, EndKind::kDone, "", kNow);
+  book.OnEnded(units[0], 0, TaskOutcome::kDone, "", kNow);
   book.Plan(units[1], {base::WorkerName("w1")}, kNow);
   JobBook::OnCheckpoint(units[1], "half", kNow);
   const auto progress = book.ProgressOf(*job);
@@ -93,7 +93,7 @@
   for (auto& runs : job->runs) {
     CHECK(job->state != jobs::JobState::kCompleted);
     book.Plan(runs[0].units[0], {base::WorkerName("w0")}, kNow);
-    book.OnEnded(runs[0].units[0], 0, EndKind::kDone, "", kNow);
+    book.OnEnded(runs[0].units[0], 0, TaskOutcome::kDone, "", kNow);
   }
   CHECK(job->state == jobs::JobState::kCompleted);
 }
--- a/test/dispatch/owner_history_test.cc
+++ b/test/dispatch/owner_history_test.cc
@@ -28,7 +28,7 @@
       return base::Duration(Draw(300, 5'000));
     };
     world_.workers().outcome = [this](const jobs::TaskName&, int) {
-      return Draw(1, 12) == 1 ? EndKind::kFailed : EndKind::kDone;
+      return Draw(1, 12) == 1 ? TaskOutcome::kFailed : TaskOutcome::kDone;
     };
   }
 
--- a/test/dispatch/owner_test.cc
+++ b/test/dispatch/owner_test.cc
@@ -73,7 +73,7 @@
 TEST_CASE("a task that fails as often as allowed fails its job") {
   OwnerWorld world(1, 2);
   world.workers().outcome = [](const jobs::TaskName&, int) {
-    return EndKind::kFailed;
+    return TaskOutcome::kFailed;
   };
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("poison", 1, 1));
@@ -384,7 +384,7 @@
 TEST_CASE("a worker whose entry names another service gets nothing more") {
   OwnerWorld world(1, 1);
   world.RunFor(1'000);
-  WorkerEntry entry;
+  WorkerRegistration entry;
   entry.name = OwnerWorld::WorkerCalled(0);
   entry.service = base::ServiceName("another");
   world.owner("vm0").PutWorker(entry);
@@ -411,7 +411,7 @@
   world.StartOwner("vm1");
   world.RunFor(3'000);
   // It is registered again, and what was recorded there ends.
-  WorkerEntry entry;
+  WorkerRegistration entry;
   entry.name = OwnerWorld::WorkerCalled(0);
   entry.service = base::ServiceName(OwnerWorld::kService);
   entry.rack = base::RackName("r0");
--- a/test/dispatch/owner_world.h
+++ b/test/dispatch/owner_world.h
@@ -62,7 +62,7 @@
 
   void AddWorker(int i) {
     constexpr int kPerRack = 4;
-    WorkerEntry entry;
+    WorkerRegistration entry;
     entry.name = WorkerCalled(i);
     entry.service = base::ServiceName(kService);
     entry.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1 + i)};
@@ -99,7 +99,7 @@
   void Drain(const base::WorkerName& name, base::Duration stays) {
     auto& entry = entries_.at(name);
     entry.is_draining = true;
-    entry.stays = stays;
+    entry.remaining_time = stays;
     for (const auto& [unused, owner] : owners_) owner->PutWorker(entry);
   }
 
@@ -144,13 +144,13 @@
   /// A candidate on a VM with so many cores.
   void StartOwner(const std::string& name, double cores = 1) {
     ServiceOwnerOptions options;
-    options.lease.handicap = HandicapOf(cores);
+    options.lease.takeover_delay = TakeoverDelayFor(cores);
     views_.try_emplace(name);
     auto& vm = vms_[name];
     vm = std::make_unique<Vm>(time_, store_.For(name), workers_.For(name));
     vm->processor.SetCost(cost_);
     auto owner = std::make_unique<ServiceOwner>(
-        ServiceOwnerPorts{
+        ServiceOwnerDependencies{
             vm->processor, vm->store, vm->workers,
             [] { return base::Duration(0); },
             [this] { return time_.Now().time_since_epoch().count(); },
@@ -282,11 +282,11 @@
     base::TimePoint registrations_read{};
   };
 
-  void Restart(WorkerEntry entry, bool changes_address) {
+  void Restart(WorkerRegistration entry, bool changes_address) {
     const auto name = entry.name;
     entry.name = base::WorkerName(name.str() + "'");
     entry.is_draining = false;
-    entry.stays.reset();
+    entry.remaining_time.reset();
     constexpr std::uint16_t kPortOffset = 1'000;
     if (changes_address) entry.endpoint.port += kPortOffset;
     if (!changes_address) workers_.Supersede(name);
@@ -323,7 +323,7 @@
   /// What one owner's process runs on.
   struct Vm {
     Vm(fakes::VirtualTime& time, store::RowStore& all_rows,
-       WorkerPort& all_workers)
+       WorkerClient& all_workers)
         : processor(time),
           store(processor, all_rows),
           workers(time, processor, all_workers) {}
@@ -340,7 +340,7 @@
   fakes::FakeTaskWorkers workers_;
   std::map<base::JobName, jobs::Job> jobs_;
   std::set<base::JobName> accepted_;
-  std::map<base::WorkerName, WorkerEntry> entries_;
+  std::map<base::WorkerName, WorkerRegistration> entries_;
   /// Current capacity of each worker whose capacity has changed; its
   /// registration may still show an earlier one.
   std::map<base::WorkerName, jobs::Resources> current_capacities_;
--- a/test/dispatch/placer_test.cc
+++ b/test/dispatch/placer_test.cc
@@ -12,7 +12,7 @@
 Fleet MakeFleet(int workers, int per_rack) {
   Fleet out;
   for (int i = 0; i < workers; ++i) {
-    WorkerEntry entry;
+    WorkerRegistration entry;
     entry.name = base::WorkerName("w" + std::to_string(i));
     entry.rack = base::RackName("r" + std::to_string(i / per_rack));
     entry.capacity = kWorker;
--- a/test/dispatch/silent_domains_test.cc
+++ b/test/dispatch/silent_domains_test.cc
@@ -41,8 +41,8 @@
   int left = 2;
   for (auto& it : polls) {
     if (it.domain != DomainName("b") || left-- <= 0) continue;
-    it.answered = At(0);
-    it.due = At(10);
+    it.last_answer = At(0);
+    it.answer_due = At(10);
   }
   CHECK(FindSilentDomains(polls, {}, At(1'000)).empty());
 }
--- a/test/dispatch/start_window_test.cc
+++ b/test/dispatch/start_window_test.cc
@@ -16,7 +16,7 @@
   void Give(int n, std::optional<Duration> took) {
     for (int i = 0; i < n; ++i) {
       now += Duration(10);
-      window.NoteUse(window.size());
+      window.RecordInFlight(window.size());
       window.OnAnswer(took, now);
     }
   }
@@ -28,7 +28,7 @@
   answers.Give(30, Duration(400));
   CHECK(answers.window.size() < first);
   answers.Give(1'000, Duration(400));
-  CHECK(answers.window.size() == StartWindowOptions{}.least);
+  CHECK(answers.window.size() == StartWindowOptions{}.min_size);
 }
 
 TEST_CASE("answers that do not come make the window smaller as late ones do") {
@@ -44,7 +44,7 @@
   answers.Give(30, Duration(5));
   CHECK(answers.window.size() > first);
   answers.Give(1'000, Duration(5));
-  CHECK(answers.window.size() == StartWindowOptions{}.most);
+  CHECK(answers.window.size() == StartWindowOptions{}.max_size);
 }
 
 TEST_CASE("a window that is hardly used does not grow") {
@@ -52,7 +52,7 @@
   const int first = answers.window.size();
   for (int i = 0; i < 200; ++i) {
     answers.now += Duration(10);
-    answers.window.NoteUse(first / 4);
+    answers.window.RecordInFlight(first / 4);
     answers.window.OnAnswer(Duration(5), answers.now);
   }
   CHECK(answers.window.size() == first);
--- a/test/dispatch/task_planner_test.cc
+++ b/test/dispatch/task_planner_test.cc
@@ -27,7 +27,7 @@
 
   Place() {
     for (const auto* name : {"a0", "a1", "b0", "b1"}) {
-      WorkerEntry entry;
+      WorkerRegistration entry;
       entry.name = base::WorkerName(name);
       entry.rack = base::RackName(std::string(1, name[0]));
       entry.capacity = {64'000, 262'144, 8};
@@ -173,7 +173,7 @@
   auto& unit = job.runs.front().front().units.front();
   REQUIRE(place.planner.Decide(place.now).starts.size() == 1);
   const auto first = unit.members.front().worker;
-  place.book.OnEnded(unit, 0, EndKind::kFailed, "", place.now);
+  place.book.OnEnded(unit, 0, TaskOutcome::kFailed, "", place.now);
   // It failed on one worker; all others but one have failed another task.
   for (auto& [name, worker] : place.fleet.workers()) {
     worker.is_suspect = name.str() != "b1";
@@ -211,7 +211,7 @@
   auto& quiet = place.book.Find(base::JobName("quiet"))->runs.front().front();
   for (auto& it : quiet.units) {
     if (it.is_stopping) continue;
-    place.book.OnEnded(it, it.first_index, EndKind::kDone, "", place.now);
+    place.book.OnEnded(it, it.first_index, TaskOutcome::kDone, "", place.now);
     break;
   }
   place.now += Duration(100);
--- a/test/dispatch/worker_health_test.cc
+++ b/test/dispatch/worker_health_test.cc
@@ -10,8 +10,8 @@
 const base::WorkerName kWorker("w0");
 
 bool Fail(WorkerHealth& conduct, const std::string& job) {
-  return conduct.OnEnded(kWorker, base::JobName(job), EndKind::kFailed, kFleet,
-                         kNow);
+  return conduct.OnEnded(kWorker, base::JobName(job), TaskOutcome::kFailed,
+                         kFleet, kNow);
 }
 
 TEST_CASE("failures of several jobs in a row put a worker out for a time") {
@@ -33,7 +33,8 @@
   WorkerHealth conduct({});
   Fail(conduct, "a");
   Fail(conduct, "b");
-  conduct.OnEnded(kWorker, base::JobName("c"), EndKind::kDone, kFleet, kNow);
+  conduct.OnEnded(kWorker, base::JobName("c"), TaskOutcome::kDone, kFleet,
+                  kNow);
   CHECK_FALSE(Fail(conduct, "d"));
   CHECK_FALSE(conduct.IsOut(kWorker));
 }
@@ -46,9 +47,11 @@
   CHECK(conduct.IsSuspect(kWorker, kNow));
   CHECK(conduct.IsSuspect(kWorker, kNow + base::Duration(7'900)));
   CHECK_FALSE(conduct.IsSuspect(kWorker, kNow + base::Duration(8'000)));
-  conduct.OnEnded(kWorker, base::JobName("b"), EndKind::kStopped, kFleet, kNow);
+  conduct.OnEnded(kWorker, base::JobName("b"), TaskOutcome::kStopped, kFleet,
+                  kNow);
   CHECK(conduct.IsSuspect(kWorker, kNow));
-  conduct.OnEnded(kWorker, base::JobName("c"), EndKind::kDone, kFleet, kNow);
+  conduct.OnEnded(kWorker, base::JobName("c"), TaskOutcome::kDone, kFleet,
+                  kNow);
   CHECK_FALSE(conduct.IsSuspect(kWorker, kNow));
 }
 
--- a/test/site/codec_test.cc
+++ b/test/site/codec_test.cc
@@ -43,10 +43,10 @@
   CHECK(settings.cores == 0.5);
   CHECK(settings.stop_grace == base::Duration(6'000));
   CHECK(settings.bounds.stop_timeout == base::Duration(900));
-  CHECK(settings.bounds.state_kept == base::Duration(90'000));
-  CHECK(settings.bounds.guaranteed_start == base::Duration(3'400));
+  CHECK(settings.bounds.state_retention == base::Duration(90'000));
+  CHECK(settings.bounds.guaranteed_start_delay == base::Duration(3'400));
   // What the file leaves out keeps its default.
-  CHECK(settings.bounds.longest_lease == dispatch::Bounds{}.longest_lease);
+  CHECK(settings.bounds.max_lease == dispatch::Bounds{}.max_lease);
 }
 
 TEST_CASE("a wrong settings file is refused with what is wrong") {
@@ -96,15 +96,15 @@
   const auto news = DecodeNews(R"({"clock-ms":482113,
     "running":[["aa.0.1.17",2,"c1",41,120]],
     "ended":[[58,"aa.0.1.9",1,"done",""],[59,"aa.0.1.8",3,"broken","c2"]]})");
-  const auto& read = std::get<dispatch::WorkerNews>(news);
-  CHECK(read.clock == 482'113);
+  const auto& read = std::get<dispatch::WorkerReport>(news);
+  CHECK(read.worker_time == 482'113);
   REQUIRE(read.running.size() == 1);
   CHECK(read.running[0].run == 2);
   CHECK(read.running[0].checkpoint == "c1");
   CHECK(read.running[0].percent == 41);
   REQUIRE(read.ended.size() == 2);
-  CHECK(read.ended[0].number == 58);
-  CHECK(read.ended[1].kind == dispatch::EndKind::kBroken);
+  CHECK(read.ended[0].sequence_number == 58);
+  CHECK(read.ended[1].outcome == dispatch::TaskOutcome::kGangBroken);
 }
 
 TEST_CASE("news that make no sense are refused whole") {
@@ -134,7 +134,7 @@
   CHECK(entry->rack.str() == "r1-3");
   CHECK(entry->capacity == jobs::Resources{16'000, 32'768, 4});
   CHECK(entry->is_draining);
-  CHECK(entry->stays == base::Duration(1'500));
+  CHECK(entry->remaining_time == base::Duration(1'500));
 }
 
 TEST_CASE("an entry without room or sense is no worker") {
--- a/test/site/standin_codec_test.cc
+++ b/test/site/standin_codec_test.cc
@@ -28,26 +28,27 @@
 }
 
 TEST_CASE("the adapter reads the stand-in's news of a worker") {
-  dispatch::WorkerNews news;
-  news.clock = 482'113;
+  dispatch::WorkerReport news;
+  news.worker_time = 482'113;
   const jobs::TaskName task{base::JobName("00ff"), 0, 1, 17};
   news.running.push_back({task, 2, "c1", 41});
-  news.ended.push_back({58, task, 1, dispatch::EndKind::kLapsed, "c0"});
-  const auto answer = AnswerOf(dispatch::HoldResult{news});
+  news.ended.push_back(
+      {58, task, 1, dispatch::TaskOutcome::kLeaseExpired, "c0"});
+  const auto answer = AnswerOf(dispatch::PollResult{news});
   CHECK(answer.status == 200);
   const auto read = DecodeNews(answer.body);
-  const auto& got = std::get<dispatch::WorkerNews>(read);
-  CHECK(got.clock == news.clock);
+  const auto& got = std::get<dispatch::WorkerReport>(read);
+  CHECK(got.worker_time == news.worker_time);
   REQUIRE(got.running.size() == 1);
   CHECK(got.running[0].task == task);
   CHECK(got.running[0].percent == 41);
   REQUIRE(got.ended.size() == 1);
-  CHECK(got.ended[0].kind == dispatch::EndKind::kLapsed);
-  CHECK(got.ended[0].number == 58);
+  CHECK(got.ended[0].outcome == dispatch::TaskOutcome::kLeaseExpired);
+  CHECK(got.ended[0].sequence_number == 58);
 }
 
 TEST_CASE("the adapter reads the stand-in's rows of workers and queues") {
-  dispatch::WorkerEntry entry;
+  dispatch::WorkerRegistration entry;
   entry.name = base::WorkerName("w1");
   entry.service = base::ServiceName("survey");
   entry.endpoint = {"127.0.0.1", 4000};
@@ -55,7 +56,7 @@
   entry.labels = {"a", "r2"};
   entry.capacity = {64'000, 1'000, 8};
   entry.is_draining = true;
-  entry.stays = base::Duration(2'000);
+  entry.remaining_time = base::Duration(2'000);
   store::StoredRow row;
   row.address.key = "w1";
   row.value = EncodeWorkerEntry(entry);
--- a/testing/fakes/busy_processor.h
+++ b/testing/fakes/busy_processor.h
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "base/base.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 #include "fakes/virtual_time.h"
 #include "store/row_store.h"
 
@@ -99,10 +99,10 @@
 
 /// Calls to workers that pass one link after each other, each taking time
 /// there, and whose answers wait for their caller's processor.
-class BusyWorkerPort final : public dispatch::WorkerPort {
+class BusyWorkerPort final : public dispatch::WorkerClient {
  public:
   BusyWorkerPort(VirtualTime& time, BusyProcessor& processor,
-                 dispatch::WorkerPort& port)
+                 dispatch::WorkerClient& port)
       : time_(time), processor_(processor), link_(time), port_(port) {}
 
   /// What each call takes on the link from now on; nothing by default.
@@ -126,12 +126,12 @@
                                 });
   }
 
-  void Hold(const dispatch::WorkerAddress& worker, dispatch::HoldOrder order,
+  void Poll(const dispatch::WorkerAddress& worker, dispatch::PollOrder order,
             base::Duration timeout,
-            std::function<void(dispatch::HoldResult)> done) override {
-    Carry<dispatch::HoldResult>(timeout, std::move(done),
+            std::function<void(dispatch::PollResult)> done) override {
+    Carry<dispatch::PollResult>(timeout, std::move(done),
                                 [this, worker, order, timeout](auto answer) {
-                                  port_.Hold(worker, order, timeout, answer);
+                                  port_.Poll(worker, order, timeout, answer);
                                 });
   }
 
@@ -152,7 +152,7 @@
   VirtualTime& time_;
   BusyProcessor& processor_;
   BusyProcessor link_;
-  dispatch::WorkerPort& port_;
+  dispatch::WorkerClient& port_;
 };
 
 /// Calls to the store whose answers wait for their caller's processor.
--- a/testing/fakes/fake_task_workers.cc
+++ b/testing/fakes/fake_task_workers.cc
@@ -8,18 +8,18 @@
 using base::Duration;
 using base::WorkerName;
 using dispatch::EndedTask;
-using dispatch::EndKind;
-using dispatch::HoldOrder;
-using dispatch::HoldResult;
 using dispatch::NoAnswer;
-using dispatch::Refusal;
+using dispatch::PollOrder;
+using dispatch::PollResult;
+using dispatch::RefusalReason;
 using dispatch::Refused;
 using dispatch::StartOrder;
 using dispatch::StartResult;
 using dispatch::StopOrder;
 using dispatch::StopResult;
-using dispatch::WorkerClock;
-using dispatch::WorkerNews;
+using dispatch::TaskOutcome;
+using dispatch::WorkerReport;
+using dispatch::WorkerTime;
 using jobs::TaskName;
 
 namespace {
@@ -38,7 +38,7 @@
 }  // namespace
 
 struct FakeTaskWorkers::Worker {
-  dispatch::WorkerEntry entry;
+  dispatch::WorkerRegistration entry;
   bool is_alive = true;
   struct FormerCapacity {
     jobs::Resources capacity;
@@ -48,9 +48,9 @@
   std::vector<FormerCapacity> former_capacities;
   bool is_superseded = false;
   /// Its clock began at some other moment than others'.
-  WorkerClock clock_offset = 0;
+  WorkerTime clock_offset = 0;
   dispatch::Epoch epoch = 0;
-  WorkerClock expires = 0;
+  WorkerTime expires = 0;
   std::vector<Run> running;
   std::vector<EndedTask> ended;
   std::uint64_t last_end = 0;
@@ -64,14 +64,14 @@
   bool fails = false;
   struct Waiting {
     std::uint64_t after = 0;
-    std::function<void(HoldResult)> answer;
+    std::function<void(PollResult)> answer;
     bool is_answered = false;
   };
   std::vector<std::shared_ptr<Waiting>> waiting;
 };
 
 /// Carries orders to workers and answers back, unless they are cut off.
-class FakeTaskWorkers::Port final : public dispatch::WorkerPort {
+class FakeTaskWorkers::Port final : public dispatch::WorkerClient {
  public:
   Port(FakeTaskWorkers& workers, std::string owner)
       : workers_(workers), owner_(std::move(owner)) {}
@@ -103,9 +103,9 @@
                       });
   }
 
-  void Hold(const dispatch::WorkerAddress& address, HoldOrder order,
-            Duration timeout, std::function<void(HoldResult)> done) override {
-    Carry<HoldResult>(address.name, timeout, std::move(done),
+  void Poll(const dispatch::WorkerAddress& address, PollOrder order,
+            Duration timeout, std::function<void(PollResult)> done) override {
+    Carry<PollResult>(address.name, timeout, std::move(done),
                       [this, order](Worker& it, auto answer) {
                         workers_.Hold(it, order, answer);
                       });
@@ -124,7 +124,7 @@
     workers_.time_.After(kDelay, [this, name, act, finish] {
       auto* worker = workers_.Find(name);
       if (worker == nullptr || workers_.IsCut(owner_, name)) return;
-      if (worker->is_superseded) return finish(dispatch::OtherLife{});
+      if (worker->is_superseded) return finish(dispatch::OtherIncarnation{});
       if (!worker->is_alive) return;
       act(*worker, [this, name, finish](Result result) {
         if (workers_.IsCut(owner_, name)) return;
@@ -142,12 +142,12 @@
 
 FakeTaskWorkers::~FakeTaskWorkers() = default;
 
-void FakeTaskWorkers::Add(const dispatch::WorkerEntry& entry) {
+void FakeTaskWorkers::Add(const dispatch::WorkerRegistration& entry) {
   auto worker = std::make_unique<Worker>();
   worker->entry = entry;
-  constexpr WorkerClock kBetweenClocks = 77'000;
+  constexpr WorkerTime kBetweenClocks = 77'000;
   worker->clock_offset =
-      static_cast<WorkerClock>(workers_.size()) * kBetweenClocks;
+      static_cast<WorkerTime>(workers_.size()) * kBetweenClocks;
   workers_[entry.name] = std::move(worker);
 }
 
@@ -212,7 +212,7 @@
   Find(name)->fails = fails;
 }
 
-dispatch::WorkerPort& FakeTaskWorkers::For(const std::string& owner) {
+dispatch::WorkerClient& FakeTaskWorkers::For(const std::string& owner) {
   auto& port = ports_[owner];
   if (!port) port = std::make_unique<Port>(*this, owner);
   return *port;
@@ -223,12 +223,12 @@
   return it == workers_.end() ? nullptr : it->second.get();
 }
 
-WorkerClock FakeTaskWorkers::ClockOf(const Worker& worker) const {
+WorkerTime FakeTaskWorkers::ClockOf(const Worker& worker) const {
   return worker.clock_offset + time_.Now().time_since_epoch().count();
 }
 
 StartResult FakeTaskWorkers::Start(Worker& worker, const StartOrder& order) {
-  if (order.epoch < worker.epoch) return Refused{Refusal::kEpoch};
+  if (order.epoch < worker.epoch) return Refused{RefusalReason::kStaleEpoch};
   worker.epoch = order.epoch;
   const auto same = std::find_if(
       worker.running.begin(), worker.running.end(), [&](const Run& it) {
@@ -237,10 +237,11 @@
   if (same != worker.running.end()) return dispatch::Started{};
   const auto over = worker.over.find(order.task);
   if (over != worker.over.end() && order.run <= over->second) {
-    return Refused{Refusal::kOldRun};
+    return Refused{RefusalReason::kStaleRun};
   }
-  if (order.expires < ClockOf(worker)) return Refused{Refusal::kLate};
-  Extend(worker, order.expires);
+  if (order.expires_at < ClockOf(worker))
+    return Refused{RefusalReason::kExpired};
+  Extend(worker, order.expires_at);
   const Run run{order.task, order.run, ++last_id_, Duration(0)};
   NoteStart(worker, run);
   worker.running.push_back(run);
@@ -305,7 +306,8 @@
           if (is_same) ++present;
         }
       }
-      if (present < gang_size(run.task)) EndRun(*it, run.id, EndKind::kAlone);
+      if (present < gang_size(run.task))
+        EndRun(*it, run.id, TaskOutcome::kGangIncomplete);
     });
   }
   const auto length = run_time ? run_time(run.task) : kRunTime;
@@ -328,12 +330,13 @@
     if (it->hangs) return Work(name, run, left);
     present->done += part;
     if (left > part) return Work(name, run, left - part);
-    const auto kind = outcome ? outcome(run.task, run.run) : EndKind::kDone;
-    EndRun(*it, run.id, it->fails ? EndKind::kFailed : kind);
+    const auto kind = outcome ? outcome(run.task, run.run) : TaskOutcome::kDone;
+    EndRun(*it, run.id, it->fails ? TaskOutcome::kFailed : kind);
   });
 }
 
-void FakeTaskWorkers::EndRun(Worker& worker, std::uint64_t id, EndKind kind) {
+void FakeTaskWorkers::EndRun(Worker& worker, std::uint64_t id,
+                             TaskOutcome kind) {
   const auto it = std::find_if(worker.running.begin(), worker.running.end(),
                                [id](const Run& run) { return run.id == id; });
   if (it == worker.running.end()) return;
@@ -349,47 +352,48 @@
 }
 
 StopResult FakeTaskWorkers::Stop(Worker& worker, const StopOrder& order) {
-  if (order.epoch < worker.epoch) return Refused{Refusal::kEpoch};
+  if (order.epoch < worker.epoch) return Refused{RefusalReason::kStaleEpoch};
   worker.epoch = order.epoch;
   worker.over[order.task] = std::max(worker.over[order.task], order.run);
   for (const auto& it : worker.running) {
     if (it.task != order.task || it.run > order.run) continue;
     time_.After(kStopTime, [this, name = worker.entry.name, id = it.id] {
       auto* still = Find(name);
-      if (still->is_alive) EndRun(*still, id, EndKind::kStopped);
+      if (still->is_alive) EndRun(*still, id, TaskOutcome::kStopped);
     });
   }
   return dispatch::Stopped{};
 }
 
-void FakeTaskWorkers::Hold(Worker& worker, const HoldOrder& order,
-                           std::function<void(HoldResult)> answer) {
-  if (order.epoch < worker.epoch) return answer(Refused{Refusal::kEpoch});
+void FakeTaskWorkers::Hold(Worker& worker, const PollOrder& order,
+                           std::function<void(PollResult)> answer) {
+  if (order.epoch < worker.epoch)
+    return answer(Refused{RefusalReason::kStaleEpoch});
   worker.epoch = order.epoch;
   std::erase_if(worker.ended, [&](const EndedTask& it) {
-    if (it.number > order.ends_recorded) return false;
-    const bool counts = it.number > worker.lapsed_end;
-    if (it.kind == EndKind::kDone && counts) done_.insert(it.task);
+    if (it.sequence_number > order.last_recorded_end) return false;
+    const bool counts = it.sequence_number > worker.lapsed_end;
+    if (it.outcome == TaskOutcome::kDone && counts) done_.insert(it.task);
     return true;
   });
-  if (order.expires) Extend(worker, *order.expires);
-  if (!worker.ended.empty() || order.wait.count() == 0) {
-    return answer(NewsOf(worker, order.ends_recorded));
+  if (order.lease_expires_at) Extend(worker, *order.lease_expires_at);
+  if (!worker.ended.empty() || order.max_wait.count() == 0) {
+    return answer(NewsOf(worker, order.last_recorded_end));
   }
   auto waiting = std::make_shared<Worker::Waiting>();
-  waiting->after = order.ends_recorded;
+  waiting->after = order.last_recorded_end;
   waiting->answer = std::move(answer);
   worker.waiting.push_back(waiting);
-  time_.After(order.wait, [this, name = worker.entry.name, waiting] {
+  time_.After(order.max_wait, [this, name = worker.entry.name, waiting] {
     if (std::exchange(waiting->is_answered, true)) return;
     auto* it = Find(name);
     if (it->is_alive) waiting->answer(NewsOf(*it, waiting->after));
   });
 }
 
-WorkerNews FakeTaskWorkers::NewsOf(Worker& worker, std::uint64_t after) {
-  WorkerNews out;
-  out.clock = ClockOf(worker);
+WorkerReport FakeTaskWorkers::NewsOf(Worker& worker, std::uint64_t after) {
+  WorkerReport out;
+  out.worker_time = ClockOf(worker);
   for (const auto& it : worker.running) {
     const auto length = run_time ? run_time(it.task) : kRunTime;
     constexpr int kWhole = 100;
@@ -397,12 +401,12 @@
     out.running.push_back({it.task, it.run, "", static_cast<int>(percent)});
   }
   for (const auto& it : worker.ended) {
-    if (it.number > after) out.ended.push_back(it);
+    if (it.sequence_number > after) out.ended.push_back(it);
   }
   return out;
 }
 
-void FakeTaskWorkers::Extend(Worker& worker, WorkerClock expires) {
+void FakeTaskWorkers::Extend(Worker& worker, WorkerTime expires) {
   const auto most = ClockOf(worker) + kMostLease.count();
   worker.expires = std::max(worker.expires, std::min(expires, most));
   time_.After(Duration(worker.expires - ClockOf(worker)),
@@ -413,7 +417,8 @@
   if (!worker.is_alive || ClockOf(worker) < worker.expires) return;
   const auto running = worker.running;
   worker.lapsed_end = worker.last_end;
-  for (const auto& it : running) EndRun(worker, it.id, EndKind::kLapsed);
+  for (const auto& it : running)
+    EndRun(worker, it.id, TaskOutcome::kLeaseExpired);
 }
 
 std::size_t FakeTaskWorkers::running() const {
--- a/testing/fakes/fake_task_workers.h
+++ b/testing/fakes/fake_task_workers.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/base.h"
-#include "dispatch/worker_port.h"
+#include "dispatch/worker_client.h"
 
 namespace lapishatch::fakes {
 
@@ -26,7 +26,7 @@
 
   /// How tasks behave; the defaults run 2 s and end well.
   std::function<base::Duration(const jobs::TaskName&)> run_time;
-  std::function<dispatch::EndKind(const jobs::TaskName&, int run)> outcome;
+  std::function<dispatch::TaskOutcome(const jobs::TaskName&, int run)> outcome;
   /// Time from the start of a task until it crashes its worker; nothing if it
   /// does not.
   std::function<std::optional<base::Duration>(const jobs::TaskName&)>
@@ -40,7 +40,7 @@
   /// Tasks of the gang that a task belongs to; 1 for none.
   std::function<int(const jobs::TaskName&)> gang_size;
 
-  void Add(const dispatch::WorkerEntry& entry);
+  void Add(const dispatch::WorkerRegistration& entry);
 
   /// Changes the worker's capacity. Starts that exceed a reduced one but fit
   /// the former one are violations only after `grace`.
@@ -71,7 +71,7 @@
   void FailAll(const base::WorkerName& name, bool fails);
 
   /// The port of one owner; it outlives this object's use of it.
-  dispatch::WorkerPort& For(const std::string& owner);
+  dispatch::WorkerClient& For(const std::string& owner);
 
   /// What must never happen and did, in order.
   const std::vector<std::string>& violations() const { return violations_; }
@@ -104,12 +104,12 @@
   dispatch::StartResult Start(Worker& worker,
                               const dispatch::StartOrder& order);
   dispatch::StopResult Stop(Worker& worker, const dispatch::StopOrder& order);
-  void Hold(Worker& worker, const dispatch::HoldOrder& order,
-            std::function<void(dispatch::HoldResult)> answer);
-  dispatch::WorkerNews NewsOf(Worker& worker, std::uint64_t after);
-  void Extend(Worker& worker, dispatch::WorkerClock expires);
+  void Hold(Worker& worker, const dispatch::PollOrder& order,
+            std::function<void(dispatch::PollResult)> answer);
+  dispatch::WorkerReport NewsOf(Worker& worker, std::uint64_t after);
+  void Extend(Worker& worker, dispatch::WorkerTime expires);
   void CheckLease(Worker& worker);
-  void EndRun(Worker& worker, std::uint64_t id, dispatch::EndKind kind);
+  void EndRun(Worker& worker, std::uint64_t id, dispatch::TaskOutcome kind);
   void BeginWork(Worker& worker, const Run& run);
   void Work(const base::WorkerName& name, const Run& run, base::Duration left);
   void NoteStart(Worker& worker, const Run& run);
@@ -118,7 +118,7 @@
   jobs::Resources CapacityLimit(const Worker& worker) const;
   /// Detects a task that crashes its workers and is restarted without limit.
   void CheckRestarts(const jobs::TaskName& task);
-  dispatch::WorkerClock ClockOf(const Worker& worker) const;
+  dispatch::WorkerTime ClockOf(const Worker& worker) const;
   void Violate(std::string what) { violations_.push_back(std::move(what)); }
 
   base::EventLoop& time_;
--- a/testing/soak/fault_player.h
+++ b/testing/soak/fault_player.h
@@ -17,7 +17,7 @@
 
 /// One worker of the stand-in, with the relay before its port.
 struct SoakWorker {
-  dispatch::WorkerEntry entry;
+  dispatch::WorkerRegistration entry;
   std::shared_ptr<scenario::Relay> relay;
 };
 
--- a/testing/soak/soak.cc
+++ b/testing/soak/soak.cc
@@ -152,7 +152,7 @@
     workers_.push_back(std::move(worker));
   }
 
-  void List(const dispatch::WorkerEntry& entry) {
+  void List(const dispatch::WorkerRegistration& entry) {
     rows_.Put("servers", "", entry.name.str(),
               platform::standin::EncodeWorkerEntry(entry));
   }
@@ -168,7 +168,7 @@
     if (entry.is_draining) return;
     entry.is_draining = true;
     if (stays.count() > 0) {
-      entry.stays = stays;
+      entry.remaining_time = stays;
       List(entry);
     }
     loop_->After(stays, [this, name = entry.name] { Remove(name); });
