--- a/src/dispatch/dispatch.h
+++ b/src/dispatch/dispatch.h
@@ -1,7 +1,7 @@
 #ifndef LAPISHATCH_DISPATCH_DISPATCH_H_
 #define LAPISHATCH_DISPATCH_DISPATCH_H_
 
-/// Umbrella header of the dispatch package: who owns a service, and how its
+/// Umbrella header of the dispatch package: ownership of services, and how an
 /// owner places, starts, stops and records the tasks of jobs.
 
 #include "dispatch/bounds.h"
--- a/src/dispatch/evacuations.h
+++ b/src/dispatch/evacuations.h
@@ -8,13 +8,13 @@
 
 namespace lapishatch::dispatch {
 
-/// Failure domains that operators are emptying, as one process knows them. No
-/// task starts on their workers; what runs there runs to its end.
+/// Failure domains that operators evacuate, as last read by one process. No
+/// task starts on their workers; running tasks run to their end.
 struct Evacuations {
   std::set<base::DomainName> domains;
-  /// `domains` is what the store held at this version, or later.
+  /// `domains` reflects the store at this version or a later one.
   store::RowVersion as_of = store::kAbsent;
-  /// When the store last confirmed it, by this process's clock.
+  /// When the store last confirmed `domains`, by this process's clock.
   base::TimePoint confirmed_at{};
 };
 
--- a/src/dispatch/worker_client.h
+++ b/src/dispatch/worker_client.h
@@ -14,16 +14,17 @@
 
 namespace lapishatch::dispatch {
 
-/// Orders of a higher epoch make a worker refuse those of a lower one for good.
-/// It is the version of the owner's row when the owner took it, so epochs rise
-/// over all owners of all services.
+/// Identifies one ownership of a service. Once a worker has accepted an order
+/// of an epoch, it refuses every order of a lower one. The epoch is the version
+/// of the owner's row when the owner acquired it, so it increases across all
+/// owners of all services.
 using Epoch = std::uint64_t;
 
-/// Milliseconds on one worker's own steady clock, which may be 2% slow.
+/// Milliseconds on a worker's own steady clock, which may run up to 2% slow.
 using WorkerTime = std::int64_t;
 
-/// A worker as it registered itself. Its name is one life of it: after a crash
-/// it has another one.
+/// A worker as it registered itself. Its name identifies one incarnation: after
+/// a crash the worker registers under another name.
 struct WorkerRegistration {
   base::WorkerName name;
   base::ServiceName service;
@@ -32,16 +33,17 @@
   base::RackName rack;
   std::vector<std::string> labels;
   jobs::Resources capacity;
-  /// About to leave: what runs there may go on for a while, nothing new starts.
+  /// The worker is about to leave: running tasks may continue for a while, and
+  /// no new task starts.
   bool is_draining = false;
-  /// While draining: it stays at least so much longer.
+  /// Least time until a draining worker leaves.
   std::optional<base::Duration> remaining_time;
 
   friend bool operator==(const WorkerRegistration&,
                          const WorkerRegistration&) = default;
 };
 
-/// The life of a worker that an order is meant for.
+/// The incarnation of a worker that an order is addressed to.
 struct WorkerAddress {
   base::WorkerName name;
   http::Endpoint endpoint;
@@ -49,40 +51,40 @@
 
 struct StartOrder {
   jobs::TaskName task;
-  /// Numbers the task's starts from 1; a worker refuses one that is not higher
-  /// than any it has ended or stopped.
+  /// Counts the starts of the task from 1. A worker refuses a run that is not
+  /// higher than every run of the task that has ended or was stopped there.
   int run = 0;
   std::string spec;
-  /// When the worker is to refuse the order as late. Its lease reaches at least
-  /// until then.
+  /// The worker refuses the order after this time. The order extends the
+  /// worker's lease at least until then.
   WorkerTime expires_at = 0;
   Epoch epoch = 0;
-  /// What to go on from; empty for the beginning.
+  /// The checkpoint to resume from; empty to start from the beginning.
   std::string checkpoint;
 };
 
 enum class RefusalReason : std::uint8_t {
   /// The worker has seen a higher epoch.
   kStaleEpoch,
-  /// A run as high as this one has ended or was stopped there.
+  /// This run or a later one of the task has ended or was stopped there.
   kStaleRun,
-  /// `expires` has passed.
+  /// `expires_at` has passed.
   kExpired,
   kInsufficientCapacity,
   kInvalid,
-  /// The worker takes nothing now.
+  /// The worker accepts no orders at present.
   kUnhealthy,
 };
 
-/// The run is there, from this order or an earlier copy of it.
+/// The run exists on the worker, from this order or an earlier copy of it.
 struct Started {};
 
-/// Nothing runs because of this order.
+/// The worker refused the order and did not carry it out.
 struct Refused {
   RefusalReason reason = RefusalReason::kInvalid;
 };
 
-/// Another life is at this address: the one that was meant is over.
+/// Another incarnation answers at this address: the addressed one has ended.
 struct OtherIncarnation {};
 
 /// No byte of the order was sent.
@@ -104,22 +106,25 @@
   Epoch epoch = 0;
 };
 
-/// From now on a run up to this one is refused there; one that runs ends soon
-/// and is then listed as ended.
+/// The worker refuses runs of the task up to this one from now on. A running
+/// one ends soon and is then listed as ended.
 struct Stopped {};
 
 using StopResult =
     std::variant<Stopped, Refused, OtherIncarnation, NotSent, NoAnswer>;
 
-/// Extends the lease of everything on the worker and asks what runs there.
+/// Renews the worker's lease, which covers every task there, and requests a
+/// report of its tasks.
 struct PollOrder {
   Epoch epoch = 0;
-  /// Ends up to this number are recorded and may be forgotten.
+  /// Ends up to this sequence number are in the store; the worker may forget
+  /// them.
   std::uint64_t last_recorded_end = 0;
-  /// When everything on the worker is killed unless told otherwise; never
-  /// shortens.
+  /// When the worker kills every task unless its lease is renewed. An earlier
+  /// time than the present one has no effect; without a value the order does
+  /// not renew the lease.
   std::optional<WorkerTime> lease_expires_at;
-  /// The worker answers sooner only when a task ends.
+  /// The worker answers after this time, or earlier when a task ends.
   base::Duration max_wait{0};
 };
 
@@ -133,19 +138,19 @@
 
 enum class TaskOutcome : std::uint8_t {
   kDone,
-  /// By its own fault or the worker's.
+  /// The task or the worker failed.
   kFailed,
   kStopped,
-  /// The worker's lease ran out.
+  /// The worker's lease expired.
   kLeaseExpired,
   /// Another task of the gang ended.
   kGangBroken,
-  /// The rest of the gang did not come in time.
+  /// The other members of the gang did not start in time.
   kGangIncomplete,
 };
 
 struct EndedTask {
-  /// Counts the ends of this life of the worker from 1.
+  /// Counts the ended tasks of this incarnation of the worker from 1.
   std::uint64_t sequence_number = 0;
   jobs::TaskName task;
   int run = 0;
@@ -156,15 +161,16 @@
 struct WorkerReport {
   WorkerTime worker_time = 0;
   std::vector<RunningTask> running;
-  /// Those after `last_recorded_end`, in order; perhaps not all at once.
+  /// Ends after `last_recorded_end`, in order; a report may hold only the first
+  /// of them.
   std::vector<EndedTask> ended;
 };
 
 using PollResult =
     std::variant<WorkerReport, Refused, OtherIncarnation, NotSent, NoAnswer>;
 
-/// Speaks to workers. Every call ends in exactly one callback, on the caller's
-/// event loop.
+/// Sends orders to workers. Each call invokes its callback exactly once, on the
+/// caller's event loop.
 class WorkerClient {
  public:
   virtual ~WorkerClient() = default;
@@ -177,7 +183,7 @@
                     base::Duration timeout,
                     std::function<void(StopResult)> done) = 0;
 
-  /// `timeout` holds the order's wait.
+  /// `timeout` includes the order's `max_wait`.
   virtual void Poll(const WorkerAddress& worker, PollOrder order,
                     base::Duration timeout,
                     std::function<void(PollResult)> done) = 0;
