--- a/src/dispatch/internal/owned_service.h
+++ b/src/dispatch/internal/owned_service.h
@@ -54,7 +54,7 @@
 /// are running there.
 class OwnedService : public std::enable_shared_from_this<OwnedService> {
  public:
-  OwnedService(const ServiceOwnerPorts& ports, base::ServiceName service,
+  OwnedService(const ServiceOwnerDependencies& ports, base::ServiceName service,
                Epoch epoch, bool is_former_owner_gone,
                const ServiceOwnerOptions& options,
                OwnerPermissions permissions);
@@ -62,7 +62,7 @@
   void Start();
 
   /// Adds a worker or updates its entry. Workers of other services are ignored.
-  void PutWorker(const WorkerEntry& entry);
+  void PutWorker(const WorkerRegistration& entry);
 
   /// Handles the removal of a worker's registration. The tasks there are over
   /// only when the worker's lease has expired.
@@ -94,7 +94,7 @@
   void OnCancelRequest(const base::JobName& name);
 
   // Workers.
-  void OpenSession(const WorkerEntry& entry);
+  void OpenSession(const WorkerRegistration& entry);
   bool IsInEvacuatedDomain(const Worker& worker) const;
   /// Whether the known evacuations are at least as new as this owner's epoch
   /// and were confirmed recently. An owner whose feed lags behind starts no
@@ -111,16 +111,16 @@
   /// stopped on a worker fit its capacity.
   bool IsWithinCapacity(const base::WorkerName& name);
   void HandleEvacuationChanges();
-  void RecordDeparture(const WorkerEntry& entry);
-  void HandleCapacityChange(const WorkerEntry& entry);
+  void RecordDeparture(const WorkerRegistration& entry);
+  void HandleCapacityChange(const WorkerRegistration& entry);
   void StopUnitsOnDrainingWorkers();
-  void OnWorkerReport(const base::WorkerName& name, const WorkerNews& report,
+  void OnWorkerReport(const base::WorkerName& name, const WorkerReport& report,
                       base::TimePoint sent);
   void OnTaskRunning(const base::WorkerName& name, const RunningTask& task,
                      base::TimePoint sent);
   void OnTaskEnded(const base::WorkerName& name, const EndedTask& end);
   void EndUnreportedTasks(const base::WorkerName& name,
-                          const WorkerNews& report, base::TimePoint sent);
+                          const WorkerReport& report, base::TimePoint sent);
   /// Tasks as pairs of unit and task index; see JobTracker::MembersOn.
   using Members = std::vector<std::pair<Unit*, int>>;
   void EndAllTasksOn(const base::WorkerName& name, WorkerLossReason reason);
@@ -171,7 +171,7 @@
   Unit* FindUnitOfRun(const jobs::TaskName& task, int run);
   Worker* FindWorker(const base::WorkerName& name);
 
-  const ServiceOwnerPorts& ports_;
+  const ServiceOwnerDependencies& ports_;
   const base::ServiceName service_;
   const Epoch epoch_;
   const bool is_former_owner_gone_;
--- a/src/dispatch/job_tracker.cc
+++ b/src/dispatch/job_tracker.cc
@@ -209,18 +209,18 @@
   UpdateReady(run);
 }
 
-void JobTracker::OnEnded(Unit& unit, int index, EndKind kind,
+void JobTracker::OnEnded(Unit& unit, int index, TaskOutcome kind,
                          const std::string& checkpoint, base::TimePoint now) {
   auto& member = MemberOf(unit, index);
   if (member.state == MemberState::kTerminated) return;
   OnCheckpoint(unit, checkpoint, now);
   const bool is_service = unit.step_run->step->is_service;
-  if (kind == EndKind::kDone && !is_service) MarkDone(unit, now);
-  if (kind != EndKind::kDone) {
+  if (kind == TaskOutcome::kDone && !is_service) MarkDone(unit, now);
+  if (kind != TaskOutcome::kDone) {
     CountUnsuccessfulRun(unit, index - unit.first_index);
   }
   const bool counts = unit.failed_run < unit.last_run && !is_service;
-  if (kind == EndKind::kFailed && counts) {
+  if (kind == TaskOutcome::kFailed && counts) {
     unit.failed_run = unit.last_run;
     unit.failed_workers = {member.worker};
     ++unit.failures;
--- a/src/dispatch/owned_orders.cc
+++ b/src/dispatch/owned_orders.cc
@@ -53,14 +53,14 @@
   if (MayStart()) {
     const int under_way = book_.CountPendingStarts();
     decisions = planner_.Decide(began, start_window_.size() - under_way);
-    start_window_.NoteUse(under_way + CountTasks(decisions.starts));
+    start_window_.RecordInFlight(under_way + CountTasks(decisions.starts));
   }
   is_limited_by_start_window_ = decisions.reached_start_limit;
   for (const auto& it : decisions.preemptions) LogPreemption(it);
   SendStops();
   if (!decisions.starts.empty()) SendStartsWhenRecorded(decisions.starts);
   LogEndedJobs();
-  for (const auto& it : recorders_) it->Kick();
+  for (const auto& it : recorders_) it->ScheduleWrite();
   const auto ended = ports_.loop.Now();
   if (ports_.metrics != nullptr) {
     ports_.metrics->Observe(
@@ -68,8 +68,8 @@
         std::chrono::duration<double>(ended - began).count());
   }
   earliest_next_decision_ =
-      ended +
-      std::max(options_.decide_every, options_.decide_pause * (ended - began));
+      ended + std::max(options_.min_decision_interval,
+                       options_.decision_pause_factor * (ended - began));
 }
 
 void OwnedService::WhenRecorded(const std::set<base::JobName>& jobs,
@@ -144,7 +144,7 @@
   auto& member = JobTracker::MemberOf(*unit, task.index);
   if (member.state == MemberState::kRunning) return;
   auto* worker = FindWorker(member.worker);
-  const bool may_send = worker != nullptr && worker->session->is_heard() &&
+  const bool may_send = worker != nullptr && worker->session->has_answered() &&
                         !IsInEvacuatedDomain(*worker) && !unit->is_stopping &&
                         MayStart();
   const bool is_within_capacity = IsWithinCapacity(member.worker);
@@ -159,25 +159,26 @@
     return ScheduleDecisionRound();
   }
   auto& session = *worker->session;
-  StartOrder order{task,
-                   run,
-                   unit->step_run->job->job->spec,
-                   session.Clock() + options_.start_window.count(),
-                   epoch_,
-                   unit->checkpoint};
-  session.NoteExpiry(order.expires);
+  StartOrder order{
+      task,
+      run,
+      unit->step_run->job->job->spec,
+      session.EstimatedWorkerTime() + options_.start_validity.count(),
+      epoch_,
+      unit->checkpoint};
+  session.NoteLeaseExpiry(order.expires_at);
   member.state = MemberState::kUnconfirmed;
-  member.start_expires_at = std::max(member.start_expires_at, order.expires);
+  member.start_expires_at = std::max(member.start_expires_at, order.expires_at);
   member.start_sent_at = ports_.loop.Now();
-  ports_.workers.Start(session.address(), std::move(order),
-                       options_.start_timeout,
-                       [weak = weak_from_this(), task, run,
-                        sent = member.start_sent_at](StartResult result) {
-                         const auto self = weak.lock();
-                         if (!self) return;
-                         self->UpdateStartWindow(result, sent);
-                         self->OnStartResult(task, run, std::move(result));
-                       });
+  ports_.worker_client.Start(
+      session.address(), std::move(order), options_.start_timeout,
+      [weak = weak_from_this(), task, run,
+       sent = member.start_sent_at](StartResult result) {
+        const auto self = weak.lock();
+        if (!self) return;
+        self->UpdateStartWindow(result, sent);
+        self->OnStartResult(task, run, std::move(result));
+      });
 }
 
 /// Adjusts the size of the start window to the time that workers take to answer
@@ -217,20 +218,21 @@
                {"run", run},
                {"worker", member.worker},
                {"reason", base::NameOf(refused->reason)}});
-    if (refused->reason == Refusal::kEpoch) {
+    if (refused->reason == RefusalReason::kStaleEpoch) {
       return GiveUpOwnership("a worker has seen a higher epoch");
     }
     // A refusal is final only for the first attempt. A later attempt may be
     // refused because an earlier one has run and ended, which the worker then
     // reports.
     if (member.unanswered_starts > 0) return;
-    if (worker != nullptr) worker->paused_until = now + options_.refused_pause;
+    if (worker != nullptr)
+      worker->paused_until = now + options_.refusal_backoff;
     book_.OnRefused(*unit, task.index, now);
     return ScheduleDecisionRound();
   }
   if (std::holds_alternative<NotSent>(result) &&
       member.unanswered_starts == 0) {
-    if (worker != nullptr) worker->session->MarkUnreached();
+    if (worker != nullptr) worker->session->MarkUnreachable();
     book_.OnRefused(*unit, task.index, now);
     return ScheduleDecisionRound();
   }
@@ -241,8 +243,8 @@
              {"run", run},
              {"worker", member.worker},
              {"tries", member.unanswered_starts}});
-  if (worker != nullptr) worker->session->MarkUnreached();
-  if (member.unanswered_starts < options_.start_tries)
+  if (worker != nullptr) worker->session->MarkUnreachable();
+  if (member.unanswered_starts < options_.max_start_attempts)
     return SendStart(task, run);
   book_.Stop(*unit);
   ScheduleDecisionRound();
@@ -265,7 +267,7 @@
                             const base::WorkerName& name) {
   auto* worker = FindWorker(name);
   if (worker == nullptr || !permissions_.may_renew()) return;
-  ports_.workers.Stop(
+  ports_.worker_client.Stop(
       worker->session->address(), {task, run, epoch_}, options_.stop_timeout,
       [weak = weak_from_this(), task, run, name](const StopResult& result) {
         const auto self = weak.lock();
@@ -277,7 +279,7 @@
                                 const base::WorkerName& name,
                                 const StopResult& result) {
   const auto* refused = std::get_if<Refused>(&result);
-  if (refused != nullptr && refused->reason == Refusal::kEpoch) {
+  if (refused != nullptr && refused->reason == RefusalReason::kStaleEpoch) {
     return GiveUpOwnership("a worker has seen a higher epoch");
   }
   auto* unit = FindUnitOfRun(task, run);
@@ -290,14 +292,15 @@
   }
   // The worker normally reports the end before this delay has passed. If it
   // does not, the order may have been lost and is sent again.
-  ports_.loop.After(options_.stop_again, [weak = weak_from_this(), task, run] {
-    const auto self = weak.lock();
-    if (!self) return;
-    if (auto* it = self->FindUnitOfRun(task, run)) {
-      JobTracker::MemberOf(*it, task.index).is_stop_in_flight = false;
-      self->ScheduleDecisionRound();
-    }
-  });
+  ports_.loop.After(
+      options_.stop_retry_interval, [weak = weak_from_this(), task, run] {
+        const auto self = weak.lock();
+        if (!self) return;
+        if (auto* it = self->FindUnitOfRun(task, run)) {
+          JobTracker::MemberOf(*it, task.index).is_stop_in_flight = false;
+          self->ScheduleDecisionRound();
+        }
+      });
 }
 
 void OwnedService::LogEndedJobs() {
--- a/src/dispatch/owned_workers.cc
+++ b/src/dispatch/owned_workers.cc
@@ -13,12 +13,12 @@
   return it == workers_.end() ? nullptr : &it->second;
 }
 
-void OwnedService::PutWorker(const WorkerEntry& entry) {
+void OwnedService::PutWorker(const WorkerRegistration& entry) {
   if (entry.service != service_) return;
   auto& worker = workers_[entry.name];
   // Most rows of the feed are heartbeats that change nothing.
   const bool is_unchanged = worker.session && worker.is_registered &&
-                            worker.session->entry() == entry;
+                            worker.session->registration() == entry;
   if (is_unchanged) return;
   HandleCapacityChange(entry);
   fleet_.Put(entry);
@@ -27,14 +27,14 @@
     OpenSession(entry);
     return RecordDeparture(entry);
   }
-  worker.session->SetEntry(entry);
+  worker.session->SetRegistration(entry);
   RecordDeparture(entry);
   ScheduleDecisionRound();
 }
 
 /// Logs a change of capacity. A reduction drops the reservations on the worker:
 /// the tasks being stopped for them may no longer free enough room.
-void OwnedService::HandleCapacityChange(const WorkerEntry& entry) {
+void OwnedService::HandleCapacityChange(const WorkerRegistration& entry) {
   const auto* fleet_worker = fleet_.Find(entry.name);
   if (fleet_worker == nullptr || !fleet_worker->is_known) return;
   if (fleet_worker->capacity == entry.capacity) return;
@@ -52,9 +52,9 @@
 /// Records when a draining worker may leave. Its entry states the least time
 /// for which it stays, and may be as old as the interval between two feed
 /// reads, so the earliest of the resulting times is kept.
-void OwnedService::RecordDeparture(const WorkerEntry& entry) {
-  if (!entry.is_draining || !entry.stays) return;
-  const auto departs_at = ports_.loop.Now() + *entry.stays;
+void OwnedService::RecordDeparture(const WorkerRegistration& entry) {
+  if (!entry.is_draining || !entry.remaining_time) return;
+  const auto departs_at = ports_.loop.Now() + *entry.remaining_time;
   const auto [it, is_new] = departures_.try_emplace(entry.name, departs_at);
   it->second = std::min(it->second, departs_at);
   if (!is_new) return;
@@ -62,7 +62,7 @@
             {{"service", service_.str()},
              {"worker", entry.name},
              {"tasks", book_.MembersOn(entry.name).size()},
-             {"stays_ms", entry.stays->count()}});
+             {"stays_ms", entry.remaining_time->count()}});
 }
 
 /// Stops the units that would be lost when a draining worker leaves.
@@ -82,11 +82,11 @@
   }
 }
 
-void OwnedService::OpenSession(const WorkerEntry& entry) {
+void OwnedService::OpenSession(const WorkerRegistration& entry) {
   const auto weak = weak_from_this();
   const auto name = entry.name;
   WorkerSession::Events events;
-  events.on_news = [weak, name](const WorkerNews& report, TimePoint sent) {
+  events.on_report = [weak, name](const WorkerReport& report, TimePoint sent) {
     if (const auto self = weak.lock()) self->OnWorkerReport(name, report, sent);
   };
   events.on_superseded = [weak] {
@@ -94,7 +94,7 @@
       self->GiveUpOwnership("a worker has seen a higher epoch");
     }
   };
-  events.on_other_life = [weak, name] {
+  events.on_other_incarnation = [weak, name] {
     const auto self = weak.lock();
     if (!self) return;
     self->EndAllTasksOn(name, WorkerLossReason::kRestarted);
@@ -105,10 +105,11 @@
     });
   };
   events.may_renew = permissions_.may_renew;
-  events.longest_lease = permissions_.max_worker_lease;
+  events.max_lease = permissions_.max_worker_lease;
   auto& worker = workers_[name];
-  worker.session = std::make_unique<WorkerSession>(
-      ports_.loop, ports_.workers, entry, epoch_, session_options_, events);
+  worker.session =
+      std::make_unique<WorkerSession>(ports_.loop, ports_.worker_client, entry,
+                                      epoch_, session_options_, events);
   if (is_loaded_) worker.session->Start();
 }
 
@@ -119,20 +120,22 @@
 
 bool OwnedService::IsInEvacuatedDomain(const Worker& worker) const {
   if (!ports_.evacuations) return false;
-  return ports_.evacuations().domains.contains(worker.session->entry().domain);
+  return ports_.evacuations().domains.contains(
+      worker.session->registration().domain);
 }
 
 bool OwnedService::HasFreshEvacuations() const {
   if (!ports_.evacuations) return true;
   const auto& evacuations = ports_.evacuations();
   return evacuations.as_of >= epoch_ &&
-         ports_.loop.Now() - evacuations.confirmed < options_.evacuations_age;
+         ports_.loop.Now() - evacuations.confirmed_at <
+             options_.max_evacuations_age;
 }
 
 bool OwnedService::HasFreshRegistrations() const {
-  if (!ports_.registrations_read) return true;
-  return ports_.loop.Now() - ports_.registrations_read() <
-         options_.registrations_age;
+  if (!ports_.registrations_read_at) return true;
+  return ports_.loop.Now() - ports_.registrations_read_at() <
+         options_.max_registrations_age;
 }
 
 bool OwnedService::IsWithinCapacity(const base::WorkerName& name) {
@@ -177,9 +180,9 @@
   polls.reserve(workers_.size());
   for (const auto& [name, worker] : workers_) {
     const auto& session = *worker.session;
-    if (!worker.is_registered || !session.is_heard()) continue;
-    polls.push_back(
-        {session.entry().domain, session.LastAnswer(), session.AnswerDue()});
+    if (!worker.is_registered || !session.has_answered()) continue;
+    polls.push_back({session.registration().domain, session.LastAnswerTime(),
+                     session.AnswerDueTime()});
   }
   auto silent = FindSilentDomains(polls, {}, ports_.loop.Now());
   if (silent == silent_domains_) return;
@@ -210,15 +213,16 @@
     if (it->first != name) continue;
     const auto& worker = it->second;
     const auto& session = *worker.session;
-    const bool is_reached = session.is_heard() && session.IsReached() &&
-                            !silent_domains_.contains(session.entry().domain);
+    const bool is_reached =
+        session.has_answered() && session.IsReachable() &&
+        !silent_domains_.contains(session.registration().domain);
     const bool is_available = worker.is_registered &&
-                              !session.entry().is_draining &&
+                              !session.registration().is_draining &&
                               !IsInEvacuatedDomain(worker);
     fleet_worker.is_schedulable = is_reached && is_available &&
                                   worker.paused_until <= now &&
                                   !worker_health_.IsQuarantined(name);
-    const auto& address = session.entry().endpoint;
+    const auto& address = session.registration().endpoint;
     fleet_worker.is_suspect = worker_health_.IsSuspect(name, now) ||
                               crash_history_.IsUnreliable(address, now);
     fleet_worker.has_recent_crash = crash_history_.HasRecentCrash(address, now);
@@ -226,7 +230,7 @@
 }
 
 void OwnedService::OnWorkerReport(const base::WorkerName& name,
-                                  const WorkerNews& report, TimePoint sent) {
+                                  const WorkerReport& report, TimePoint sent) {
   auto* worker = FindWorker(name);
   if (worker == nullptr) return;
   jobs::Resources strays;
@@ -245,15 +249,15 @@
     fleet_worker->stray_usage = strays;
   for (const auto& it : report.ended) OnTaskEnded(name, it);
   EndUnreportedTasks(name, report, sent);
-  const auto last_end = worker->session->ends_received();
+  const auto last_end = worker->session->last_received_end();
   if (!report.ended.empty()) {
     for (const auto& it : report.ended) worker->unrecorded.insert(it.task.job);
     WhenRecorded(worker->unrecorded, [weak = weak_from_this(), name, last_end] {
       const auto self = weak.lock();
       auto* it = self ? self->FindWorker(name) : nullptr;
       if (it == nullptr) return;
-      if (it->session->ends_received() == last_end) it->unrecorded.clear();
-      it->session->EndsRecorded(last_end);
+      if (it->session->last_received_end() == last_end) it->unrecorded.clear();
+      it->session->OnEndsRecorded(last_end);
     });
   }
   ScheduleDecisionRound();
@@ -297,34 +301,34 @@
       JobTracker::MemberOf(*unit, end.task.index).worker == name;
   if (!is_current_run) {
     auto* known_unit = book_.FindUnit(end.task);
-    if (known_unit == nullptr || end.kind != EndKind::kDone) return;
+    if (known_unit == nullptr || end.outcome != TaskOutcome::kDone) return;
     book_.OnEarlierRunDone(*known_unit, end.run, ports_.loop.Now());
     return;
   }
-  if (end.kind != EndKind::kDone) {
+  if (end.outcome != TaskOutcome::kDone) {
     base::Log(base::events::kTaskEnded, {{"request", end.task.job},
                                          {"task", TextOf(end.task)},
                                          {"run", end.run},
                                          {"worker", name},
-                                         {"how", base::NameOf(end.kind)}});
+                                         {"how", base::NameOf(end.outcome)}});
   }
   if (ports_.metrics != nullptr) {
     ports_.metrics->Count("lapishatch_task_ends_total",
-                          {{"how", std::string(base::NameOf(end.kind))}});
+                          {{"how", std::string(base::NameOf(end.outcome))}});
   }
   const auto now = ports_.loop.Now();
-  if (worker_health_.OnEnded(name, end.task.job, end.kind, workers_.size(),
+  if (worker_health_.OnEnded(name, end.task.job, end.outcome, workers_.size(),
                              now)) {
     base::Log(base::events::kWorkerPutOut,
               {{"service", service_.str()}, {"worker", name}});
   }
-  book_.OnEnded(*unit, end.task.index, end.kind, end.checkpoint, now);
+  book_.OnEnded(*unit, end.task.index, end.outcome, end.checkpoint, now);
 }
 
 /// Marks as over the members that the worker reports neither as running nor as
 /// ended, once no order that was sent can still start them.
 void OwnedService::EndUnreportedTasks(const base::WorkerName& name,
-                                      const WorkerNews& report,
+                                      const WorkerReport& report,
                                       TimePoint sent) {
   for (const auto& it : book_.MembersOn(name)) {
     auto* unit = it.first;
@@ -345,7 +349,7 @@
     // The expiry of a start by a former owner is not known here and is 0. The
     // worker refuses such a start since it has seen this owner's epoch.
     const bool is_start_expired = member.state == MemberState::kUnconfirmed &&
-                                  report.clock > member.start_expires_at;
+                                  report.worker_time > member.start_expires_at;
     if (!was_confirmed && !is_start_expired) continue;
     base::Log(base::events::kTaskVanished, {{"request", task.job},
                                             {"task", TextOf(task)},
@@ -366,7 +370,7 @@
     if (unit->is_stopping || unit->phase == jobs::UnitPhase::kDone) continue;
     if (step.is_service) continue;
     const auto share = base::Duration(static_cast<std::int64_t>(
-        options_.stalled_share *
+        options_.stalled_estimate_share *
         static_cast<double>(step.run_time_estimate.count())));
     const auto stall_limit = std::max(options_.stalled_after, share);
     std::set<base::WorkerName> stalled_workers;
@@ -405,24 +409,25 @@
 /// such workers if they are no longer registered.
 void OwnedService::HandleExpiredLeases() {
   const auto now = ports_.loop.Now();
-  // Worker leases granted by a former owner end at most `orphan_reach` after
-  // its last renewal of the service's row. That renewal happened at least one
-  // row lease before this owner acquired the row. A former owner that is known
-  // to be gone granted its leases before the acquisition, so they end within
-  // one worker lease after it.
+  // Worker leases granted by a former owner end at most `outage_lease_limit`
+  // after its last renewal of the service's row. That renewal happened at least
+  // one row lease before this owner acquired the row. A former owner that is
+  // known to be gone granted its leases before the acquisition, so they end
+  // within one worker lease after it.
   const auto& session = session_options_;
   const auto max_former_lease =
       is_former_owner_gone_
-          ? session.lease
-          : std::max(session.lease,
-                     options_.orphan_reach - options_.lease.length);
+          ? session.lease_duration
+          : std::max(session.lease_duration,
+                     options_.outage_lease_limit - options_.lease.duration);
   const auto unanswered_expiry =
-      max_former_lease + session.lease / 20 + session.clock_slack;
+      max_former_lease + session.lease_duration / 20 + session.clock_margin;
   std::vector<base::WorkerName> to_remove;
   for (auto& [name, worker] : workers_) {
     const auto& it = *worker.session;
-    const bool has_lapsed =
-        it.is_heard() ? it.HasLapsed() : now - acquired_at_ > unanswered_expiry;
+    const bool has_lapsed = it.has_answered()
+                                ? it.HasLeaseExpired()
+                                : now - acquired_at_ > unanswered_expiry;
     if (!has_lapsed) continue;
     if (!book_.MembersOn(name).empty()) {
       EndAllTasksOn(name, WorkerLossReason::kLeaseExpired);
--- a/test/dispatch/job_tracker_test.cc
+++ b/test/dispatch/job_tracker_test.cc
@@ -35,7 +35,7 @@
   auto* job = tracker.Add(gang, nullptr, 0, base::Duration(0), kNow);
   auto& unit = job->runs[0][0].units[0];
   tracker.Plan(unit, {base::WorkerName("w0"), base::WorkerName("w1")}, kNow);
-  tracker.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
+  tracker.OnEnded(unit, 0, TaskOutcome::kFailed, "", kNow);
   CHECK(unit.failures == 1);
 
   // The record stands, the acknowledgement was not sent, the owner is gone.
@@ -44,8 +44,8 @@
   JobTracker next(next_fleet);
   auto* again = next.Add(gang, &progress, 7, base::Duration(0), kNow);
   auto& restored = again->runs[0][0].units[0];
-  next.OnEnded(restored, 0, EndKind::kFailed, "", kNow);
-  next.OnEnded(restored, 1, EndKind::kBroken, "", kNow);
+  next.OnEnded(restored, 0, TaskOutcome::kFailed, "", kNow);
+  next.OnEnded(restored, 1, TaskOutcome::kGangBroken, "", kNow);
   CHECK(restored.failures == 1);
   CHECK(again->state == jobs::JobState::kRunning);
 }
@@ -57,10 +57,10 @@
       tracker.Add(Shared(GangOf(1)), nullptr, 0, base::Duration(0), kNow);
   auto& unit = job->runs[0][0].units[0];
   tracker.Plan(unit, {base::WorkerName("w0")}, kNow);
-  tracker.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
+  tracker.OnEnded(unit, 0, TaskOutcome::kFailed, "", kNow);
   CHECK(job->state == jobs::JobState::kRunning);
   tracker.Plan(unit, {base::WorkerName("w0")}, kNow);
-  tracker.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
+  tracker.OnEnded(unit, 0, TaskOutcome::kFailed, "", kNow);
   CHECK(job->state == jobs::JobState::kFailed);
   CHECK(unit.last_run == 2);
 }
@@ -72,7 +72,7 @@
   auto* job = tracker.Add(shared, nullptr, 0, base::Duration(0), kNow);
   auto& units = job->runs[0][0].units;
   tracker.Plan(units[0], {base::WorkerName("w0")}, kNow);
-  tracker.OnEnded(units[0], 0, EndKind::kDone, "", kNow);
+  tracker.OnEnded(units[0], 0, TaskOutcome::kDone, "", kNow);
   tracker.Plan(units[1], {base::WorkerName("w1")}, kNow);
   JobTracker::OnCheckpoint(units[1], "half", kNow);
   const auto progress = tracker.ProgressOf(*job);
@@ -95,7 +95,7 @@
   for (auto& runs : job->runs) {
     CHECK(job->state != jobs::JobState::kCompleted);
     tracker.Plan(runs[0].units[0], {base::WorkerName("w0")}, kNow);
-    tracker.OnEnded(runs[0].units[0], 0, EndKind::kDone, "", kNow);
+    tracker.OnEnded(runs[0].units[0], 0, TaskOutcome::kDone, "", kNow);
   }
   CHECK(job->state == jobs::JobState::kCompleted);
 }
--- a/test/dispatch/owner_random_faults_test.cc
+++ b/test/dispatch/owner_random_faults_test.cc
@@ -29,7 +29,7 @@
       return base::Duration(RandomInt(300, 5'000));
     };
     world_.workers().outcome = [this](const jobs::TaskName&, int) {
-      return RandomInt(1, 12) == 1 ? EndKind::kFailed : EndKind::kDone;
+      return RandomInt(1, 12) == 1 ? TaskOutcome::kFailed : TaskOutcome::kDone;
     };
   }
 
--- a/test/dispatch/owner_test.cc
+++ b/test/dispatch/owner_test.cc
@@ -73,7 +73,7 @@
 TEST_CASE("a task that uses up its attempts fails its job") {
   OwnerWorld world(1, 2);
   world.workers().outcome = [](const jobs::TaskName&, int) {
-    return EndKind::kFailed;
+    return TaskOutcome::kFailed;
   };
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("poison", 1, 1));
@@ -389,7 +389,7 @@
 TEST_CASE("a worker that moves to another service gets no more tasks") {
   OwnerWorld world(1, 1);
   world.RunFor(1'000);
-  WorkerEntry entry;
+  WorkerRegistration entry;
   entry.name = OwnerWorld::WorkerNameAt(0);
   entry.service = base::ServiceName("another");
   world.owner("vm0").PutWorker(entry);
@@ -418,7 +418,7 @@
   world.StartOwner("vm1");
   world.RunFor(3'000);
   // The worker is registered again, and the tasks recorded on it end.
-  WorkerEntry entry;
+  WorkerRegistration entry;
   entry.name = OwnerWorld::WorkerNameAt(0);
   entry.service = base::ServiceName(OwnerWorld::kService);
   entry.rack = base::RackName("r0");
--- a/test/dispatch/worker_health_test.cc
+++ b/test/dispatch/worker_health_test.cc
@@ -10,8 +10,8 @@
 const base::WorkerName kWorker("w0");
 
 bool Fail(WorkerHealth& health, const std::string& job) {
-  return health.OnEnded(kWorker, base::JobName(job), EndKind::kFailed, kFleet,
-                        kNow);
+  return health.OnEnded(kWorker, base::JobName(job), TaskOutcome::kFailed,
+                        kFleet, kNow);
 }
 
 TEST_CASE("failures of several jobs in a row put a worker out for a time") {
@@ -33,7 +33,7 @@
   WorkerHealth health({});
   Fail(health, "a");
   Fail(health, "b");
-  health.OnEnded(kWorker, base::JobName("c"), EndKind::kDone, kFleet, kNow);
+  health.OnEnded(kWorker, base::JobName("c"), TaskOutcome::kDone, kFleet, kNow);
   CHECK_FALSE(Fail(health, "d"));
   CHECK_FALSE(health.IsQuarantined(kWorker));
 }
@@ -46,9 +46,10 @@
   CHECK(health.IsSuspect(kWorker, kNow));
   CHECK(health.IsSuspect(kWorker, kNow + base::Duration(7'900)));
   CHECK_FALSE(health.IsSuspect(kWorker, kNow + base::Duration(8'000)));
-  health.OnEnded(kWorker, base::JobName("b"), EndKind::kStopped, kFleet, kNow);
+  health.OnEnded(kWorker, base::JobName("b"), TaskOutcome::kStopped, kFleet,
+                 kNow);
   CHECK(health.IsSuspect(kWorker, kNow));
-  health.OnEnded(kWorker, base::JobName("c"), EndKind::kDone, kFleet, kNow);
+  health.OnEnded(kWorker, base::JobName("c"), TaskOutcome::kDone, kFleet, kNow);
   CHECK_FALSE(health.IsSuspect(kWorker, kNow));
 }
 
--- a/test/site/codec_test.cc
+++ b/test/site/codec_test.cc
@@ -43,10 +43,10 @@
   CHECK(settings.cores == 0.5);
   CHECK(settings.stop_grace_period == base::Duration(6'000));
   CHECK(settings.bounds.stop_timeout == base::Duration(900));
-  CHECK(settings.bounds.state_kept == base::Duration(90'000));
-  CHECK(settings.bounds.guaranteed_start == base::Duration(3'400));
+  CHECK(settings.bounds.state_retention == base::Duration(90'000));
+  CHECK(settings.bounds.guaranteed_start_delay == base::Duration(3'400));
   // A field that is not in the file keeps its default.
-  CHECK(settings.bounds.longest_lease == dispatch::Bounds{}.longest_lease);
+  CHECK(settings.bounds.max_lease == dispatch::Bounds{}.max_lease);
 }
 
 TEST_CASE("an invalid settings file is rejected with the reason") {
@@ -96,15 +96,15 @@
   const auto report = DecodeHoldResponse(R"({"clock-ms":482113,
     "running":[["aa.0.1.17",2,"c1",41,120]],
     "ended":[[58,"aa.0.1.9",1,"done",""],[59,"aa.0.1.8",3,"broken","c2"]]})");
-  const auto& read = std::get<dispatch::WorkerNews>(report);
-  CHECK(read.clock == 482'113);
+  const auto& read = std::get<dispatch::WorkerReport>(report);
+  CHECK(read.worker_time == 482'113);
   REQUIRE(read.running.size() == 1);
   CHECK(read.running[0].run == 2);
   CHECK(read.running[0].checkpoint == "c1");
   CHECK(read.running[0].percent == 41);
   REQUIRE(read.ended.size() == 2);
-  CHECK(read.ended[0].number == 58);
-  CHECK(read.ended[1].kind == dispatch::EndKind::kBroken);
+  CHECK(read.ended[0].sequence_number == 58);
+  CHECK(read.ended[1].outcome == dispatch::TaskOutcome::kGangBroken);
 }
 
 TEST_CASE("a malformed response to a hold order is rejected as a whole") {
@@ -135,7 +135,7 @@
   CHECK(entry->rack.str() == "r1-3");
   CHECK(entry->capacity == jobs::Resources{16'000, 32'768, 4});
   CHECK(entry->is_draining);
-  CHECK(entry->stays == base::Duration(1'500));
+  CHECK(entry->remaining_time == base::Duration(1'500));
 }
 
 TEST_CASE("a registration that is malformed or lacks a capacity is rejected") {
--- a/test/site/standin_codec_test.cc
+++ b/test/site/standin_codec_test.cc
@@ -28,26 +28,27 @@
 }
 
 TEST_CASE("the adapter decodes the stand-in's response to a hold order") {
-  dispatch::WorkerNews report;
-  report.clock = 482'113;
+  dispatch::WorkerReport report;
+  report.worker_time = 482'113;
   const jobs::TaskName task{base::JobName("00ff"), 0, 1, 17};
   report.running.push_back({task, 2, "c1", 41});
-  report.ended.push_back({58, task, 1, dispatch::EndKind::kLapsed, "c0"});
-  const auto response = EncodeResponse(dispatch::HoldResult{report});
+  report.ended.push_back(
+      {58, task, 1, dispatch::TaskOutcome::kLeaseExpired, "c0"});
+  const auto response = EncodeResponse(dispatch::PollResult{report});
   CHECK(response.status == 200);
   const auto read = DecodeHoldResponse(response.body);
-  const auto& decoded = std::get<dispatch::WorkerNews>(read);
-  CHECK(decoded.clock == report.clock);
+  const auto& decoded = std::get<dispatch::WorkerReport>(read);
+  CHECK(decoded.worker_time == report.worker_time);
   REQUIRE(decoded.running.size() == 1);
   CHECK(decoded.running[0].task == task);
   CHECK(decoded.running[0].percent == 41);
   REQUIRE(decoded.ended.size() == 1);
-  CHECK(decoded.ended[0].kind == dispatch::EndKind::kLapsed);
-  CHECK(decoded.ended[0].number == 58);
+  CHECK(decoded.ended[0].outcome == dispatch::TaskOutcome::kLeaseExpired);
+  CHECK(decoded.ended[0].sequence_number == 58);
 }
 
 TEST_CASE("the adapter decodes the stand-in's worker and configuration rows") {
-  dispatch::WorkerEntry entry;
+  dispatch::WorkerRegistration entry;
   entry.name = base::WorkerName("w1");
   entry.service = base::ServiceName("survey");
   entry.endpoint = {"127.0.0.1", 4000};
@@ -55,7 +56,7 @@
   entry.labels = {"a", "r2"};
   entry.capacity = {64'000, 1'000, 8};
   entry.is_draining = true;
-  entry.stays = base::Duration(2'000);
+  entry.remaining_time = base::Duration(2'000);
   store::StoredRow row;
   row.address.key = "w1";
   row.value = EncodeWorkerEntry(entry);
