--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -12,24 +12,26 @@
 
 namespace lapishatch::dispatch {
 
-/// A worker as placing sees it.
+/// The state of a worker that task placement depends on.
 struct FleetWorker {
   base::WorkerName name;
   base::RackName rack;
   base::DomainName domain;
   std::vector<std::string> labels;
   jobs::Resources capacity;
-  /// Of everything that runs there, may run there or is still being stopped.
+  /// Resources of all tasks that run there, may run there or are still being
+  /// stopped.
   jobs::Resources used;
-  /// Of what runs there beyond that, as the worker says: tasks that have ended
-  /// for the owner, or that it does not know.
+  /// Resources of stray tasks that the worker reports in addition: tasks that
+  /// have ended for the owner, or that the owner has no record of.
   jobs::Resources stray_usage;
-  /// Promised to units that wait for others to be stopped.
+  /// Resources reserved for units that wait for other tasks to be stopped.
   jobs::Resources reserved;
-  /// Whether anything new may start there.
+  /// Whether new tasks may start there.
   bool is_schedulable = false;
-  /// Whether it has lately failed a task and ended none well since: what has
-  /// another place, or no failure to spare, does not go there.
+  /// Whether a task failed there recently and none has succeeded since. Units
+  /// that fit elsewhere, or whose next failure would be the last, are not
+  /// placed there.
   bool is_suspect = false;
   /// Number of tasks there that are suspected of crashing workers. Other
   /// suspect tasks are kept apart, and other tasks prefer another worker.
@@ -37,10 +39,11 @@
   /// Whether a worker at its address crashed recently: a further crash under a
   /// suspect task could be due to either the task or the machine.
   bool has_recent_crash = false;
-  /// Of its rack among those with open workers; set by SchedulableWorkers.
+  /// Index of its rack among the racks with schedulable workers; set by
+  /// SchedulableWorkers.
   std::size_t rack_index = 0;
-  /// Whether its size is known; room is counted on others too, since tasks may
-  /// be recorded on a worker before it is heard of.
+  /// Whether its capacity is known. Used resources are also counted on other
+  /// workers, since tasks may be recorded on a worker before it registers.
   bool is_known = false;
 
   jobs::Resources Free() const {
@@ -57,34 +60,37 @@
   bool IsRisky() const { return is_suspect || suspect_tasks > 0; }
 };
 
-/// What a step takes of a worker: one that fills needs no processor of its own.
+/// Returns the resources that one task of the step is allocated on a worker. A
+/// step that uses only spare CPU is allocated none.
 jobs::Resources ResourcesPerTask(const jobs::Step& step);
 
-/// The workers of a service and what is taken of each. Pure data: no time, no
-/// I/O.
+/// The workers of a service and the resources allocated on each. Has no clock
+/// and does no I/O.
 class Fleet {
  public:
-  /// Adds a worker or changes its size, rack and labels.
+  /// Adds a worker or updates its capacity, rack and labels.
   void Put(const WorkerEntry& entry);
 
-  /// Takes the worker out. What is taken of it stays counted until it is given
-  /// back, also when the worker comes back in between.
+  /// Removes the worker. Its allocated resources stay counted until they are
+  /// released, even if the worker is added again in the meantime.
   void Remove(const base::WorkerName& name);
 
-  /// Nothing where there is no such worker.
+  /// Returns null if there is no such worker.
   FleetWorker* Find(const base::WorkerName& name);
 
-  /// By name; the order is the same for the same fleet.
+  /// Sorted by name, so that iteration over the same fleet is deterministic.
   const std::map<base::WorkerName, FleetWorker>& workers() const {
     return workers_;
   }
   std::map<base::WorkerName, FleetWorker>& workers() { return workers_; }
 
-  /// Takes or gives back room, on workers that are not known as well.
+  /// Allocates or releases resources, also on workers whose capacity is
+  /// unknown.
   void Allocate(const base::WorkerName& name, const jobs::Resources& room);
   void Release(const base::WorkerName& name, const jobs::Resources& room);
 
-  /// Adds `n`, which may be negative, to the number of suspect tasks.
+  /// Adds `n`, which may be negative, to the number of suspect tasks on the
+  /// worker.
   void AddSuspectTasks(const base::WorkerName& name, int n);
 
  private:
--- a/src/dispatch/internal/crash_history.h
+++ b/src/dispatch/internal/crash_history.h
@@ -18,7 +18,7 @@
 };
 
 /// Crashes by address, since a worker that restarts after a crash registers
-/// under another name. Pure.
+/// under another name. Has no clock and does no I/O.
 class CrashHistory {
  public:
   explicit CrashHistory(CrashHistoryOptions options) : options_(options) {}
--- a/src/dispatch/internal/crash_policy.h
+++ b/src/dispatch/internal/crash_policy.h
@@ -37,12 +37,12 @@
   std::vector<jobs::TaskName> tasks;
 };
 
-/// The workers of a fleet that are down.
+/// The workers of a fleet that are down, and the size of the fleet.
 struct DownWorkers {
   std::vector<DownWorker> workers;
   /// Number of workers in the fleet, up or down.
   int fleet_size = 0;
-  /// Number of these that have no suspect task.
+  /// Number of workers, up or down, that have no suspect task.
   int without_suspects = 0;
 };
 
--- a/src/dispatch/internal/job_tracker.h
+++ b/src/dispatch/internal/job_tracker.h
@@ -17,30 +17,30 @@
 
 namespace lapishatch::dispatch::internal {
 
-/// Everything that is known of the jobs of a service, and how each changes. It
-/// sends and stores nothing: whoever calls it looks at `dirty` for what is to
-/// be recorded and at `to_stop` for what is to be stopped.
+/// Tracks the jobs of a service and their state transitions. It sends and
+/// stores nothing: callers read `dirty` for progress to record and `to_stop`
+/// for units to stop.
 ///
-/// This is where a second run of a task is prevented: a unit goes back to
-/// waiting only in `Finish`, when every member of its last run is over, and a
-/// member is over only by OnEnded, OnRefused or OnLost, each of which says why
-/// it can run no more.
+/// This class prevents a task from running twice at a time: a unit returns to
+/// waiting only in `Finish`, when every member of its last run is terminated.
+/// Only OnEnded, OnRefused and OnLost terminate a member, and each documents
+/// why the member can no longer run.
 class JobTracker {
  public:
   explicit JobTracker(Fleet& fleet) : fleet_(fleet) {}
 
-  /// Adds a job as it was accepted, with what an earlier owner recorded of it.
-  /// Members of a recorded start are unconfirmed until their workers are heard.
+  /// Adds an accepted job with the progress that an earlier owner recorded.
+  /// Members of a recorded start are unconfirmed until their workers report.
   /// `age` is the time since its acceptance.
   JobEntry* Add(std::shared_ptr<const jobs::Job> job,
                 const jobs::JobProgress* progress, std::uint64_t row_version,
                 base::Duration age, base::TimePoint now);
 
-  /// A run was seen with a checkpoint.
+  /// Handles a checkpoint reported by the current run.
   static void OnCheckpoint(Unit& unit, const std::string& checkpoint,
                            base::TimePoint now);
 
-  /// Forgets a job of which nothing may run any more.
+  /// Removes a job none of whose tasks may be running.
   void Remove(const base::JobName& name);
 
   JobEntry* Find(const base::JobName& name);
@@ -48,10 +48,10 @@
     return jobs_;
   }
 
-  /// The unit of a task, or null when no job has such a task.
+  /// Returns the unit of a task, or null if no job has such a task.
   Unit* FindUnit(const jobs::TaskName& task);
 
-  /// The member of `unit` that is task `index`.
+  /// Returns the member of `unit` that is task `index`.
   static Member& MemberOf(Unit& unit, int index) {
     return unit.members[static_cast<std::size_t>(index - unit.first_index)];
   }
@@ -61,24 +61,25 @@
 
   static jobs::TaskName NameOf(const Unit& unit, std::size_t member);
 
-  /// Begins the next run of a waiting unit on `workers`. Nothing may be sent
-  /// before it is recorded.
+  /// Begins the next run of a waiting unit on `workers`. No start request may
+  /// be sent before the run is recorded.
   void Plan(Unit& unit, const std::vector<base::WorkerName>& workers,
             base::TimePoint now);
 
-  /// The run of a member is over as the worker says. A run that is not the
-  /// present one is nothing.
+  /// Handles a worker's report that a member ended. Must only be called for the
+  /// current run.
   void OnEnded(Unit& unit, int index, EndKind kind,
                const std::string& checkpoint, base::TimePoint now);
 
-  /// A run that had been given up as lost turns out to have ended well, on a
-  /// worker that was not reached then: what replaced it is stopped.
+  /// Handles the success of an earlier run that was given up as lost because
+  /// its worker was unreachable. Marks the unit done and stops the run that
+  /// replaced it.
   void OnEarlierRunDone(Unit& unit, int run, base::TimePoint now);
 
-  /// The member has not begun and never will.
+  /// Handles a refused start: the member has not begun and never will.
   void OnRefused(Unit& unit, int index, base::TimePoint now);
 
-  /// The member may have begun, and is certain to run no more.
+  /// Handles a loss: the member may have begun, and certainly no longer runs.
   void OnLost(Unit& unit, int index, base::TimePoint now);
 
   /// Like OnLost, for a member that its worker neither runs nor lists as ended.
@@ -89,49 +90,49 @@
   static jobs::TaskLosses RecordLoss(Unit& unit, int index, int suspicion,
                                      base::TimePoint now);
 
-  /// Stops the present run of a unit, to be started again later.
+  /// Stops the current run of a unit, which is started again later.
   void Stop(Unit& unit);
 
   void Cancel(JobEntry& job);
 
-  /// Lets the occurrences begin whose time has come.
+  /// Makes the occurrences ready whose due time has come.
   void ActivateDueOccurrences(std::int64_t unix_ms, base::TimePoint now);
 
   jobs::JobProgress ProgressOf(const JobEntry& job) const;
 
-  /// For each queue, jobs none of whose tasks has begun.
+  /// Returns the number of jobs in each queue none of whose tasks has started.
   jobs::WaitingJobCounts CountWaitingJobs() const;
 
   /// Steps with units that may be started now.
   const std::set<StepRun*>& ready() const { return ready_; }
 
-  /// Units whose present run is to be stopped, until it is over.
+  /// Units whose current run must be stopped, until it has ended.
   const std::set<Unit*>& to_stop() const { return to_stop_; }
 
-  /// Units with a present run.
+  /// Units with a current run.
   const std::set<Unit*>& active() const { return active_; }
 
-  /// Tasks whose starts are about to be sent, or were sent by this owner and
-  /// have no answer yet.
+  /// Returns the number of tasks whose start requests are about to be sent, or
+  /// were sent by this owner and are unanswered.
   int CountPendingStarts() const;
 
-  /// Tasks of present runs that are or may be on a worker: the unit, and the
-  /// task's index.
+  /// Returns the tasks of current runs that run or may run on a worker, as
+  /// pairs of unit and task index.
   std::vector<std::pair<Unit*, int>> MembersOn(
       const base::WorkerName& worker) const;
 
-  /// Jobs of a part whose progress is not recorded as it is, and until when it
-  /// should be; taken by the part's recorder.
+  /// Jobs of a partition whose progress has changed since it was recorded, and
+  /// the time by which to record it. The partition's recorder empties it.
   using DirtyJobs = std::map<JobEntry*, base::TimePoint>;
   DirtyJobs& dirty(int part) { return dirty_[static_cast<std::size_t>(part)]; }
 
   /// Jobs that have not ended.
   const std::set<const JobEntry*>& unfinished() const { return unfinished_; }
 
-  /// Jobs that have ended since the last call.
+  /// Returns the jobs that have ended since the last call.
   std::vector<base::JobName> TakeEnded() { return std::exchange(ended_, {}); }
 
-  /// Gives up the room that a waiting unit was promised.
+  /// Releases the resources that are reserved for a waiting unit.
   void DropReservation(Unit& unit);
   /// Drops the reservations of all waiting units that include `worker`.
   void DropReservationsOn(const base::WorkerName& worker);
@@ -160,7 +161,7 @@
   std::set<StepRun*> ready_;
   std::set<Unit*> to_stop_;
   std::set<Unit*> active_;
-  /// What MembersOn tells; each news of a worker asks for it.
+  /// Index for MembersOn, which every worker report uses.
   std::unordered_map<base::WorkerName, std::set<std::pair<Unit*, int>>>
       members_on_;
   std::array<DirtyJobs, jobs::kProgressPartitionCount> dirty_;
--- a/src/dispatch/internal/reclaim.h
+++ b/src/dispatch/internal/reclaim.h
@@ -12,57 +12,58 @@
 
 namespace lapishatch::dispatch::internal {
 
-/// A unit that may be stopped, and what that costs in core-seconds.
+/// A unit that may be preempted, and the cost of that in core-seconds.
 struct Victim {
   Unit* unit = nullptr;
   double cost = 0;
 };
 
-/// Placement for a unit, and what is to be stopped for them.
+/// A placement for a unit, and the units to preempt for it.
 struct ReclaimPlan {
   Placement placement;
   std::vector<Unit*> victims;
   double cost = 0;
 };
 
-/// What could be stopped on each open worker, for all searches of one round of
-/// decisions: gathering it anew for each unit and each rack would cost a pass
-/// over all workers and all that runs every time. A unit that is being stopped
-/// costs nothing more.
+/// The units that may be preempted on each schedulable worker. Built once for
+/// all searches of a scheduling round, since rebuilding it for each unit and
+/// rack would visit all workers and running units each time. A unit that is
+/// already being stopped adds no cost.
 class ReclaimCandidates {
  public:
-  /// `victims` are sorted by cost. `open` must outlive this.
-  ReclaimCandidates(const SchedulableWorkers& open,
+  /// `victims` must be sorted by cost. `workers` must outlive this object.
+  ReclaimCandidates(const SchedulableWorkers& workers,
                     const std::vector<Victim>& victims);
 
-  /// The cheapest placement for one unit of `run` among all workers, or on one
-  /// rack: task by task where the least has to be stopped, the cheapest on a
-  /// worker first. Nothing where it does not fit even so. Units of its own job
-  /// are never stopped for it. Costs one step a worker and task.
+  /// Returns a low-cost placement for one unit of `run` on all workers or on
+  /// one rack, or nothing if it cannot fit. Chooses greedily, task by task, the
+  /// worker with the lowest preemption cost, and on a worker the cheapest units
+  /// first. Never preempts units of the same job. Visits every worker for each
+  /// task.
   std::optional<ReclaimPlan> FindAnywhere(const StepRun& run) const;
   std::optional<ReclaimPlan> FindOnRack(const StepRun& run,
                                         const base::RackName& rack) const;
 
-  /// The same on whichever single rack is cheapest.
+  /// Returns the cheapest such placement on a single rack.
   std::optional<ReclaimPlan> FindOnOneRack(const StepRun& run) const;
 
-  /// The plan's victims are being stopped from now on.
+  /// Updates the index after the victims of `plan` were marked as stopping.
   void MarkStopped(const ReclaimPlan& plan);
 
  private:
-  /// A unit on one worker, with what stopping it frees there.
+  /// A unit on one worker, and the resources that stopping it freed there.
   struct Stop {
     Unit* unit = nullptr;
     double cost = 0;
-    jobs::Resources frees;
+    jobs::Resources freed;
   };
   using Stops = std::vector<Stop>;
   class Search;
 
   const Stops& StopsOn(const base::WorkerName& worker) const;
 
-  const SchedulableWorkers& open_;
-  /// The cheapest first.
+  const SchedulableWorkers& workers_;
+  /// Sorted by cost, cheapest first.
   std::unordered_map<base::WorkerName, Stops> stops_;
 };
 
--- a/src/dispatch/internal/task_text.h
+++ b/src/dispatch/internal/task_text.h
@@ -7,7 +7,7 @@
 
 namespace lapishatch::dispatch::internal {
 
-/// "job/occurrence/step/index", for logs.
+/// Returns "job/occurrence/step/index", for logs.
 inline std::string TextOf(const jobs::TaskName& task) {
   return task.job.str() + '/' + std::to_string(task.occurrence) + '/' +
          std::to_string(task.step) + '/' + std::to_string(task.index);
--- a/src/dispatch/internal/unit.h
+++ b/src/dispatch/internal/unit.h
@@ -21,25 +21,26 @@
 struct JobEntry;
 struct StepRun;
 
-/// Urgent jobs of an organisation are protected by its guarantee.
+/// Priority of urgent jobs, which the guarantee of their organisation protects.
 inline constexpr int kUrgentPriority = 0;
 
-/// What is known of one task of a started run.
+/// State of one task of a started run.
 enum class MemberState : std::uint8_t {
-  /// Its start is recorded or about to be; nothing was sent.
+  /// Its start is recorded or about to be recorded; no start request has been
+  /// sent.
   kPlanned,
-  /// A start was sent and has no answer yet, or none came: it may run, or begin
-  /// to until `expires`.
+  /// A start request was sent and is unanswered: the task may be running, or
+  /// may begin to run until `start_expires_at`.
   kUnconfirmed,
-  /// The worker has said that it runs.
+  /// The worker has confirmed that it runs.
   kRunning,
-  /// It runs no more and never will.
+  /// It has ended or never started, and cannot run any more.
   kTerminated,
 };
 
 /// Why an owner treats a worker and its tasks as lost.
 enum class WorkerLossReason : std::uint8_t {
-  /// Another life answers at the worker's address.
+  /// A new incarnation of the worker answers at its address.
   kRestarted,
   /// The worker's lease has expired without an answer.
   kLeaseExpired,
@@ -48,24 +49,25 @@
   kUnregistered,
 };
 
-/// One task of a unit's present run.
+/// One task of a unit's current run.
 struct Member {
   base::WorkerName worker;
   MemberState state = MemberState::kPlanned;
-  /// Of the worker's clock: a start that comes after it is refused.
+  /// Time on the worker's clock after which it refuses the start request.
   WorkerClock start_expires_at = 0;
-  /// When the worker last confirmed_at it, or a stop of it.
+  /// When the worker last confirmed that the task runs or is stopped.
   base::TimePoint confirmed_at{};
   bool is_stop_confirmed = false;
-  /// How far it was when it was last seen to get on, and when that was.
+  /// Progress at its last increase, and the time of that increase.
   int percent = 0;
   base::TimePoint last_progress_at{};
-  /// The same of when it was seen first; a resumed run begins above 0.
+  /// Progress when it was first reported, and that time. A resumed run begins
+  /// above 0.
   int first_percent = 0;
   base::TimePoint first_seen_at{};
-  /// When this owner sent its last start; the epoch for never.
+  /// When this owner last sent a start request; the epoch if never.
   base::TimePoint start_sent_at{};
-  /// Starts sent without an answer.
+  /// Number of start requests without an answer.
   int unanswered_starts = 0;
   bool is_stop_in_flight = false;
   /// Whether the task was suspected of crashing workers when this run was
@@ -73,59 +75,61 @@
   bool is_suspect = false;
 };
 
-/// Tasks that start together and are one to whoever counts attempts: a whole
-/// gang, or a single task.
+/// A gang or a single task: the tasks that start together and share an attempt
+/// count.
 struct Unit {
   StepRun* step_run = nullptr;
   int first_index = 0;
   jobs::UnitPhase phase = jobs::UnitPhase::kWaiting;
   int failures = 0;
-  /// The last run that counts among the failures.
+  /// Number of the last run that was counted in `failures`.
   int failed_run = 0;
   int last_run = 0;
   std::string checkpoint;
-  /// When the present run was last seen with a new checkpoint.
+  /// When the current run last reported a new checkpoint.
   base::TimePoint checkpointed_at{};
-  /// Of the present run, one a task; empty when nothing may run.
+  /// The tasks of the current run; empty if none may be running.
   std::vector<Member> members;
-  /// The present run is being stopped.
+  /// Whether the current run is being stopped.
   bool is_stopping = false;
-  /// Where its last failed run failed: better places are looked for first.
+  /// Workers where its last failed run failed; others are preferred.
   std::set<base::WorkerName> failed_workers;
-  /// Losses of each task that lost a worker.
+  /// Loss counts of the tasks that lost a worker.
   std::vector<jobs::TaskLosses> losses;
-  /// Placement that others are being stopped for; empty for none.
+  /// Workers reserved for this unit while other tasks are being stopped there;
+  /// empty for none.
   std::vector<base::WorkerName> reserved;
   base::TimePoint waiting_since{};
   base::TimePoint started_at{};
-  /// When nothing was found that could be stopped for it.
+  /// When the last search for units to preempt found nothing.
   base::TimePoint reclaim_failed_at{};
 
   bool IsActive() const { return !members.empty(); }
 };
 
-/// One step of one occurrence.
+/// One step of one occurrence of a job.
 struct StepRun {
   JobEntry* job = nullptr;
   int occurrence = 0;
   int number = 0;
   const jobs::Step* step = nullptr;
-  /// Addresses stay the same: entries are only added.
+  /// Elements are only appended, so their addresses stay valid.
   std::deque<Unit> units;
   int units_done = 0;
-  /// The longest chain of estimates from this step's beginning to the end of
-  /// the occurrence.
+  /// Longest sum of run time estimates from the start of this step to the end
+  /// of the occurrence.
   base::Duration critical_path{0};
-  /// Steps before it that are not done yet.
+  /// Number of dependencies that are not done yet.
   int pending_dependencies = 0;
-  /// Milliseconds since 1970 before which it may not begin; 0 for at once.
+  /// Milliseconds since 1970 before which it may not begin; 0 for no such
+  /// time.
   std::int64_t due_ms = 0;
   bool is_due = true;
-  /// Tasks of the step that are or may be on each worker.
+  /// Number of tasks of the step that run or may run on each worker.
   std::map<base::WorkerName, int> tasks_by_worker;
   base::TimePoint ready_since{};
-  /// Whether a unit would fit where it wants to be if nothing else ran, and
-  /// when that was looked at; see TaskPlanner.
+  /// Whether a unit would fit on its preferred rack if nothing else ran, and
+  /// when that was determined; see TaskPlanner.
   bool fits_when_empty = false;
   base::TimePoint fit_checked_at{};
 
@@ -133,34 +137,34 @@
   int TasksPerUnit() const { return step->is_gang ? step->tasks : 1; }
 };
 
-/// Why a job has failed.
+/// Why a job failed.
 enum class JobFailure : std::uint8_t {
   kNone,
-  /// A task has failed as often as the job allows.
+  /// A task failed as often as the job allows.
   kAttempts,
-  /// Too many workers were lost while running a task.
+  /// Too many workers were lost while they ran a task of the job.
   kWorkerLosses,
 };
 
-/// A job that the owner knows.
+/// A job of the service and its state.
 struct JobEntry {
   std::shared_ptr<const jobs::Job> job;
-  /// Index of the part with its rows.
+  /// Index of the partition that holds its progress row.
   int partition = 0;
   jobs::JobState state = jobs::JobState::kQueued;
   /// Set only if the job failed under this owner.
   JobFailure failure = JobFailure::kNone;
-  /// By occurrence, then step. Empty once the job has ended and nothing of it
-  /// may run.
+  /// Indexed by occurrence, then step. Empty once the job has ended and none of
+  /// its tasks may be running.
   std::vector<std::deque<StepRun>> runs;
   bool is_cancel_requested = false;
   base::TimePoint added_at{};
-  /// When it was accepted, by this process's clock.
+  /// When the job was accepted, on the clock of this process.
   base::TimePoint accepted_at{};
-  /// From its acceptance (an occurrence: its time) to its end, so that it is in
-  /// time.
+  /// Longest time from its acceptance, or from the due time of an occurrence,
+  /// to its end that still counts as in time.
   base::Duration latency_objective{0};
-  /// Of the progress row; kAbsent before the first.
+  /// Version of the progress row; kAbsent before the first write.
   std::uint64_t row_version = 0;
 };
 
--- a/src/dispatch/internal/waiting_count_writer.h
+++ b/src/dispatch/internal/waiting_count_writer.h
@@ -11,8 +11,8 @@
 
 namespace lapishatch::dispatch::internal {
 
-/// Writes how many jobs of each queue wait, when that has changed, on condition
-/// that the owner is still the same.
+/// Writes the number of waiting jobs of each queue to the store when it has
+/// changed, on condition that the owner fence is unchanged.
 class WaitingCountWriter {
  public:
   WaitingCountWriter(base::EventLoop& loop, store::RowStore& store,
@@ -22,7 +22,7 @@
   WaitingCountWriter(const WaitingCountWriter&) = delete;
   WaitingCountWriter& operator=(const WaitingCountWriter&) = delete;
 
-  /// Begins to write, and goes on as long as this object lives.
+  /// Writes now and periodically until this object is destroyed.
   void Start();
 
  private:
--- a/src/dispatch/internal/worker_drain.h
+++ b/src/dispatch/internal/worker_drain.h
@@ -10,23 +10,25 @@
 namespace lapishatch::dispatch::internal {
 
 struct DrainOptions {
-  /// A task that would end so soon after its worker may leave is not stopped:
-  /// workers stay a little longer than they say, and estimates are rough.
+  /// A task whose estimated end is at most this long after the departure of its
+  /// worker is not stopped: workers stay slightly longer than announced, and
+  /// estimates are rough.
   base::Duration grace{300};
 };
 
-/// When each worker that leaves may be gone, by this process's clock.
+/// The time after which each leaving worker may be gone, on the clock of this
+/// process.
 using Departures = std::map<base::WorkerName, base::TimePoint>;
 
-/// How much longer a member works as far as its progress tells, or its step's
-/// estimate before there is any; never negative.
+/// Returns the estimated remaining run time of a member, based on its progress,
+/// or on its step's estimate before any progress. Never negative.
 base::Duration RemainingWork(const Unit& unit, const Member& member,
                              base::TimePoint now);
 
-/// Units to stop since a worker of theirs leaves before they can end. What is
-/// stopped in time is listed as ended and starts elsewhere at once; what is
-/// lost with its worker starts again only after the worker's lease. Costs one
-/// pass over the members of active units.
+/// Returns the units to stop because one of their workers leaves before they
+/// can end. A unit that is stopped in time is reported as ended and restarts
+/// elsewhere at once, whereas one that is lost with its worker restarts only
+/// after the worker's lease expires. Visits all members of active units.
 std::vector<Unit*> FindUnitsToDrain(const JobTracker& tracker,
                                     const Departures& departures,
                                     const DrainOptions& options,
--- a/src/dispatch/internal/worker_health.h
+++ b/src/dispatch/internal/worker_health.h
@@ -11,47 +11,49 @@
 namespace lapishatch::dispatch::internal {
 
 struct WorkerHealthOptions {
-  /// Failures in a row, with no task ending well in between, that put a worker
-  /// out. Tasks fail by their own fault now and then, so that fewer in a row
-  /// may well be chance.
+  /// Number of consecutive failures on a worker, without a success in between,
+  /// after which it is quarantined. Tasks sometimes fail through their own
+  /// fault, so fewer failures may be chance.
   int min_failures = 3;
-  /// Of so many jobs at least: a job that can never be done fails anywhere.
+  /// Minimum number of different jobs among these failures: a job that cannot
+  /// succeed fails on any worker.
   std::size_t min_jobs = 2;
-  /// For so long after a failure, unless a task ends well there in between, a
-  /// worker is suspect. A worker that fails all it starts does so for seconds
-  /// and at once, so one failure is enough to send elsewhere what has other
-  /// places: otherwise both attempts of a job fall on such workers.
+  /// How long after a failure a worker is suspect, unless a task succeeds
+  /// there. A worker that fails all its tasks does so at once and for seconds,
+  /// so after a single failure tasks that fit elsewhere avoid it. Otherwise
+  /// both attempts of a job could fail on such workers.
   base::Duration suspect_duration{8'000};
-  /// A worker that failed several jobs in a row gets work on trial after a
-  /// pause that grows.
+  /// A quarantined worker gets tasks on trial after a pause that grows with
+  /// each quarantine.
   placement::WorkerQuarantine::Options quarantine{0.2, base::Duration(4'000),
                                                   base::Duration(60'000),
                                                   base::Duration(60'000), 1};
 };
 
-/// Finds workers that fail what they start. Such a worker always has room, so
-/// it would take one task after another and use up their attempts. Pure.
+/// Detects workers on which tasks fail. Such a worker always has free
+/// resources, so it would take one task after another and use up their
+/// attempts. Has no clock and does no I/O.
 class WorkerHealth {
  public:
   explicit WorkerHealth(WorkerHealthOptions options)
       : options_(options), quarantine_(options.quarantine) {}
 
-  /// A task ended on a worker of a fleet of `fleet_size`. True when the worker
-  /// is put out by it.
+  /// Handles the end of a task on a worker of a fleet of `fleet_size`. Returns
+  /// true if this quarantines the worker.
   bool OnEnded(const base::WorkerName& worker, const base::JobName& job,
                EndKind kind, std::size_t fleet_size, base::TimePoint now);
 
-  /// Whether the worker has lately failed a task and ended none well since.
+  /// Whether a task failed on the worker recently and none has succeeded since.
   bool IsSuspect(const base::WorkerName& worker, base::TimePoint now) const;
 
-  /// Puts a worker out for another reason. False when it is out, or too many
-  /// are.
+  /// Quarantines a worker for another reason. Returns false if it is already
+  /// quarantined or too many workers are.
   bool Quarantine(const base::WorkerName& worker, std::size_t fleet_size,
                   base::TimePoint now) {
     return quarantine_.Add(worker, fleet_size, now);
   }
 
-  /// Lets in again whose time is over.
+  /// Releases the workers whose quarantine has expired.
   void ReleaseExpired(base::TimePoint now) { quarantine_.ReleaseExpired(now); }
 
   void Remove(const base::WorkerName& worker);
@@ -69,7 +71,7 @@
   const WorkerHealthOptions options_;
   placement::WorkerQuarantine quarantine_;
   std::map<base::WorkerName, Record> records_;
-  /// When each worker last failed a task, until one ends well there.
+  /// When a task last failed on each worker; erased by a success.
   std::map<base::WorkerName, base::TimePoint> failed_at_;
 };
 
--- a/src/dispatch/job_tracker.cc
+++ b/src/dispatch/job_tracker.cc
@@ -8,8 +8,8 @@
 namespace lapishatch::dispatch::internal {
 namespace {
 
-/// Fills in the tails of an occurrence's steps, the last first: a step comes
-/// only after earlier ones.
+/// Sets the critical paths of the steps of an occurrence. Iterates in reverse,
+/// since a step depends only on earlier ones.
 void SetCriticalPaths(std::deque<StepRun>& runs) {
   for (auto it = runs.rbegin(); it != runs.rend(); ++it) {
     it->critical_path += it->step->run_time_estimate;
@@ -21,15 +21,15 @@
   }
 }
 
-/// A job's row holds all its units, so changes that nobody waits for are
-/// gathered: each write of a wide job costs kilobytes. A start that is not
-/// urgent waits for its record, an end only keeps its worker from being asked
-/// for more news.
-constexpr base::Duration kGatherStarts{40};
-constexpr base::Duration kGatherEnds{100};
+/// A job's row holds all its units, and each write of a job with many units
+/// costs kilobytes. Changes that no caller waits for are therefore batched. A
+/// start that is not urgent waits for its record; the record of an end only
+/// delays the acknowledgement to its worker.
+constexpr base::Duration kStartBatchDelay{40};
+constexpr base::Duration kEndBatchDelay{100};
 
-/// Recorded without delay.
-constexpr base::TimePoint kAtOnce{};
+/// Due time of changes that are recorded without delay.
+constexpr base::TimePoint kImmediately{};
 
 constexpr CrashPolicyOptions kCrashPolicy;
 
@@ -61,8 +61,8 @@
   entry->accepted_at = now - age;
   entry->row_version = row_version;
   const bool has_ended = progress != nullptr && IsFinal(progress->state);
-  // A job that has ended may still have members somewhere, so its units are
-  // built all the same.
+  // Tasks of a job that has ended may still be running, so its units are built
+  // too.
   BuildRuns(*entry, now);
   if (progress != nullptr) Restore(*entry, *progress, now);
   if (!has_ended) {
@@ -98,7 +98,7 @@
         auto& unit = run.units.emplace_back();
         unit.step_run = &run;
         unit.first_index = n;
-        // Of a new owner too: what waited under the last one has waited.
+        // Time spent waiting under an earlier owner counts as well.
         unit.waiting_since = job.accepted_at;
       }
       if (job.job->schedule.repeat_count > 0) {
@@ -205,7 +205,7 @@
   active_.insert(&unit);
   if (run.job->state == JobState::kQueued) run.job->state = JobState::kRunning;
   const bool is_urgent = run.job->job->priority == kUrgentPriority;
-  MarkDirty(*run.job, is_urgent ? kAtOnce : now + kGatherStarts);
+  MarkDirty(*run.job, is_urgent ? kImmediately : now + kStartBatchDelay);
   UpdateReady(run);
 }
 
@@ -224,7 +224,7 @@
     unit.failed_run = unit.last_run;
     unit.failed_workers = {member.worker};
     ++unit.failures;
-    MarkDirty(*unit.step_run->job, now + kGatherEnds);
+    MarkDirty(*unit.step_run->job, now + kEndBatchDelay);
   }
   TerminateMember(unit, member, now);
 }
@@ -319,7 +319,8 @@
       unit.members.begin(), unit.members.end(),
       [](const Member& m) { return m.state == MemberState::kTerminated; });
   if (is_last) return Finish(unit, now);
-  // The rest of a gang is of no use without this one, unless the gang is done.
+  // The other tasks of a gang are useless without this one, unless the gang is
+  // done.
   if (unit.phase != UnitPhase::kDone) Stop(unit);
 }
 
@@ -332,7 +333,7 @@
   if (unit.phase != UnitPhase::kDone) {
     unit.phase = UnitPhase::kWaiting;
     unit.waiting_since = now;
-    MarkDirty(job, now + kGatherEnds);
+    MarkDirty(job, now + kEndBatchDelay);
     if (unit.failures >= job.job->max_attempts) {
       Fail(job, JobFailure::kAttempts);
     } else if (IsGivenUp(unit.losses, kCrashPolicy)) {
@@ -351,13 +352,13 @@
 void JobTracker::MarkDone(Unit& unit, base::TimePoint now) {
   if (unit.phase == UnitPhase::kDone) return;
   unit.phase = UnitPhase::kDone;
-  // A done gang's other tasks end by themselves.
+  // The other tasks of a done gang end by themselves.
   to_stop_.erase(&unit);
   unit.is_stopping = false;
   auto& run = *unit.step_run;
   auto& job = *run.job;
   ++run.units_done;
-  MarkDirty(job, now + kGatherEnds);
+  MarkDirty(job, now + kEndBatchDelay);
   UpdateReady(run);
   if (!run.IsDone()) return;
   Unblock(job, run.occurrence, run.number, now);
@@ -420,13 +421,13 @@
   End(job, JobState::kCancelled);
 }
 
-/// Nothing of the job starts any more and what runs is stopped.
+/// Prevents further starts of the job and stops its running tasks.
 void JobTracker::End(JobEntry& job, JobState state) {
   job.state = state;
   unfinished_.erase(&job);
   ended_.push_back(job.job->name);
-  // Callers are waiting to see it.
-  MarkDirty(job, kAtOnce);
+  // Callers wait for the end of the job.
+  MarkDirty(job, kImmediately);
   for (auto& runs : job.runs) {
     for (auto& run : runs) {
       UpdateReady(run);
@@ -470,7 +471,7 @@
         record.step = run.number;
         record.index = unit.first_index;
         record.phase = unit.phase;
-        // Nothing else is needed of what is done.
+        // For a unit that is done, only its phase is needed.
         if (!is_done) {
           record.failures = unit.failures;
           record.last_failed_run = unit.failed_run;
--- a/src/dispatch/placer.cc
+++ b/src/dispatch/placer.cc
@@ -11,13 +11,13 @@
 
 using jobs::Resources;
 
-/// A worker that may take tasks of the step.
+/// A worker that may run tasks of the step.
 struct Candidate {
   const FleetWorker* worker = nullptr;
   Resources room;
-  /// Tasks of the step that may still be added.
+  /// How many more tasks of the step it may run.
   int tasks_left = 0;
-  /// Accelerators that are free on its rack.
+  /// Free accelerators on its rack.
   std::int64_t rack_free = 0;
 };
 
@@ -44,8 +44,8 @@
          !request.excluded_workers->contains(worker.name);
 }
 
-Candidates CandidatesOf(SchedulableWorkers& workers,
-                        const PlacementRequest& request) {
+Candidates FindCandidates(SchedulableWorkers& workers,
+                          const PlacementRequest& request) {
   Candidates out;
   const auto needs = ResourcesPerTask(*request.step);
   workers.VisitWithFree(needs.accelerators, [&](const FleetWorker& worker) {
@@ -58,10 +58,11 @@
   return out;
 }
 
-/// How many tasks of `needs` a room holds, `most` at most.
-int CountIn(const Resources& room, const Resources& needs, int most) {
-  const auto fit = [](std::int64_t has, std::int64_t takes) {
-    return takes > 0 ? has / takes : std::numeric_limits<std::int64_t>::max();
+/// Returns how many tasks of `needs` fit into `room`, up to `most`.
+int CountFitting(const Resources& room, const Resources& needs, int most) {
+  const auto fit = [](std::int64_t available, std::int64_t needed) {
+    return needed > 0 ? available / needed
+                      : std::numeric_limits<std::int64_t>::max();
   };
   const auto n = std::min({fit(room.cpu_millis, needs.cpu_millis),
                            fit(room.memory_mb, needs.memory_mb),
@@ -69,30 +70,30 @@
   return static_cast<int>(std::clamp<std::int64_t>(n, 0, most));
 }
 
-/// Less is a better fit: fewer accelerators are left over on the worker, then
-/// on its rack, so that whole racks stay free for gangs that want one, then
-/// less processor.
-auto Leftover(const Candidate& it) {
+/// Sort key for best fit, lower is better: fewer free accelerators on the
+/// worker, then on its rack, so that whole racks stay free for gangs, then less
+/// free CPU.
+auto BestFitKey(const Candidate& it) {
   return std::tie(it.room.accelerators, it.rack_free, it.room.cpu_millis,
                   it.worker->name);
 }
 
-/// Orders the emptiest worker first, so that a crash affects the fewest other
-/// tasks.
-auto EmptiestFirst(const Candidate& it) {
+/// Sort key that puts the emptiest worker first, so that a crash affects the
+/// fewest other tasks.
+auto EmptiestFirstKey(const Candidate& it) {
   const std::string_view name = it.worker->name.str();
   return std::tuple(-it.room.accelerators, -it.room.cpu_millis, name);
 }
 
-/// Puts all tasks on `candidates`, best fit first, or emptiest first for
-/// suspect tasks; nothing where they do not fit. Each candidate is filled
-/// before the next, so only as many are sorted as are taken.
+/// Places all tasks on `candidates` by best fit, or on the emptiest first for
+/// suspect tasks. Returns nothing if they do not fit. Each candidate is filled
+/// before the next, so a heap avoids sorting those that are not needed.
 std::optional<Placement> Fill(Candidates candidates,
                               const PlacementRequest& request) {
   const auto needs = ResourcesPerTask(*request.step);
   const auto is_worse = [&request](const Candidate& a, const Candidate& b) {
-    if (request.is_suspect) return EmptiestFirst(b) < EmptiestFirst(a);
-    return Leftover(b) < Leftover(a);
+    if (request.is_suspect) return EmptiestFirstKey(b) < EmptiestFirstKey(a);
+    return BestFitKey(b) < BestFitKey(a);
   };
   std::make_heap(candidates.begin(), candidates.end(), is_worse);
   Placement out;
@@ -103,34 +104,36 @@
     std::pop_heap(candidates.begin(), candidates.end(), is_worse);
     const auto& best = candidates.back();
     const auto wanted = static_cast<int>(tasks - out.size());
-    const int n = CountIn(best.room, needs, std::min(wanted, best.tasks_left));
+    const int n =
+        CountFitting(best.room, needs, std::min(wanted, best.tasks_left));
     out.insert(out.end(), static_cast<std::size_t>(n), best.worker->name);
     candidates.pop_back();
   }
   return out;
 }
 
-/// The rack that the gang fills best: fewest accelerators are left on it.
+/// Places the gang on the rack with the fewest free accelerators among those
+/// where it fits.
 std::optional<Placement> FillOneRack(const Candidates& candidates,
                                      const PlacementRequest& request) {
-  struct RackRoom {
+  struct RackCapacity {
     int tasks = 0;
     std::int64_t accelerators = 0;
   };
   const auto needs = ResourcesPerTask(*request.step);
-  std::map<base::RackName, RackRoom> racks;
+  std::map<base::RackName, RackCapacity> racks;
   for (const auto& it : candidates) {
     auto& rack = racks[it.worker->rack];
-    rack.tasks += CountIn(it.room, needs, it.tasks_left);
+    rack.tasks += CountFitting(it.room, needs, it.tasks_left);
     rack.accelerators += it.room.accelerators;
   }
   const base::RackName* best = nullptr;
-  std::int64_t best_left = 0;
+  std::int64_t best_free = 0;
   for (const auto& [name, rack] : racks) {
     if (rack.tasks < request.tasks) continue;
-    if (best != nullptr && rack.accelerators >= best_left) continue;
+    if (best != nullptr && rack.accelerators >= best_free) continue;
     best = &name;
-    best_left = rack.accelerators;
+    best_free = rack.accelerators;
   }
   if (best == nullptr) return std::nullopt;
   Candidates members;
@@ -148,9 +151,10 @@
   return out;
 }
 
-/// Tasks of the step that `workers` would hold if nothing ran there.
-int CountInEmpty(const SchedulableWorkers::List& workers,
-                 const PlacementRequest& request) {
+/// Returns how many tasks of the step would fit on `workers` if nothing ran
+/// there. Stops counting at the number requested.
+int CountFittingWhenEmpty(const SchedulableWorkers::List& workers,
+                          const PlacementRequest& request) {
   const auto needs = ResourcesPerTask(*request.step);
   const auto& step = *request.step;
   const int most =
@@ -159,7 +163,7 @@
   for (const auto* it : workers) {
     const auto& label = step.required_label;
     if (!label.empty() && !it->HasLabel(label)) continue;
-    out += CountIn(it->capacity, needs, most);
+    out += CountFitting(it->capacity, needs, most);
     if (out >= request.tasks) break;
   }
   return out;
@@ -174,7 +178,7 @@
 
 std::optional<Placement> FindPlacement(SchedulableWorkers& workers,
                                        const PlacementRequest& request) {
-  auto candidates = CandidatesOf(workers, request);
+  auto candidates = FindCandidates(workers, request);
   const auto& step = *request.step;
   if (!step.preferred_rack.empty()) {
     auto placement = Fill(OnRack(candidates, step.preferred_rack), request);
@@ -191,7 +195,7 @@
                    const PlacementRequest& request) {
   const auto& step = *request.step;
   const auto fits = [&request](const SchedulableWorkers::List& list) {
-    return CountInEmpty(list, request) >= request.tasks;
+    return CountFittingWhenEmpty(list, request) >= request.tasks;
   };
   const auto& racks = workers.racks();
   if (!step.preferred_rack.empty()) {
--- a/src/dispatch/placer.h
+++ b/src/dispatch/placer.h
@@ -13,40 +13,46 @@
 
 namespace lapishatch::dispatch {
 
-/// What decides where a unit (one task, or the tasks of a gang) may go.
+/// Constraints on where a unit (a single task, or all tasks of a gang) may be
+/// placed.
 struct PlacementRequest {
   const jobs::Step* step = nullptr;
   int tasks = 1;
-  /// Tasks of the step on each worker now, for its limit per worker.
+  /// Number of tasks of the step on each worker, for the step's limit per
+  /// worker.
   const std::map<base::WorkerName, int>* tasks_by_worker = nullptr;
-  /// Workers that are not to be taken; null for none.
+  /// Workers that must not be used; null for none.
   const std::set<base::WorkerName>* excluded_workers = nullptr;
-  /// Whether to exclude workers that lately failed a task or run a suspect one.
+  /// Whether to exclude workers where a task failed recently or a suspect task
+  /// runs.
   bool excludes_risky_workers = false;
   /// Whether the unit is suspected of crashing workers. It is placed on the
   /// emptiest worker that has no other suspect task and no recent crash.
   bool is_suspect = false;
-  /// Whether a rack other than the wanted one will do.
+  /// Whether racks other than the preferred one are allowed, where the unit may
+  /// run slower.
   bool allows_other_racks = false;
 };
 
-/// One worker a task.
+/// The worker of each task of a unit.
 using Placement = std::vector<base::WorkerName>;
 
-/// Whether the unit may be slower in some placement than in others, so that
-/// `allows_other_racks` makes a difference.
+/// Whether the step prefers a rack, so that `allows_other_racks` makes a
+/// difference.
 bool PrefersRack(const jobs::Step& step);
 
-/// Where the unit fits now, or nothing. Takes the workers that it fills best,
-/// so that whole workers stay free for tasks that need all accelerators of one,
-/// and among workers alike those on fuller racks, for gangs that want a whole
-/// rack. A gang that wants one rack gets the rack that it fills best. Costs one
-/// step a worker with enough free accelerators for a task.
+/// Returns a placement in which the unit fits now, or nothing. Uses best fit,
+/// so that whole workers stay free for tasks that need all accelerators of one.
+/// Among equal workers it prefers those on fuller racks, so that whole racks
+/// stay free for gangs. A gang that prefers a single rack is placed on the rack
+/// with the fewest accelerators free. Visits each worker that has enough free
+/// accelerators for one task.
 std::optional<Placement> FindPlacement(SchedulableWorkers& workers,
                                        const PlacementRequest& request);
 
-/// Whether the unit would fit on its wanted rack, or anywhere where it has no
-/// wish, if nothing else ran. What never fits there need not wait for it.
+/// Whether the unit would fit on its preferred rack, or anywhere if it prefers
+/// none, if nothing else ran. A unit that never fits there need not wait for
+/// it.
 bool FitsWhenEmpty(const SchedulableWorkers& workers,
                    const PlacementRequest& request);
 
--- a/src/dispatch/schedulable_workers.h
+++ b/src/dispatch/schedulable_workers.h
@@ -11,21 +11,22 @@
 
 namespace lapishatch::dispatch {
 
-/// The workers of a fleet that may get new tasks, sorted by what is free on
-/// them and by rack, so that a search for places looks only at workers that may
-/// have them. Made for one round of decisions: which workers are open must not
-/// change while it is used, and no worker may be added or removed; what is free
-/// on them may.
+/// The workers of a fleet that accept new tasks, indexed by rack and by free
+/// accelerators, so that a search for a placement visits only workers that may
+/// have room. Built for one scheduling round: while it is used, workers must
+/// not be added, removed or change whether they are schedulable. Their free
+/// resources may change.
 class SchedulableWorkers {
  public:
   using List = std::vector<const FleetWorker*>;
 
-  /// Notes in each open worker which rack is its.
+  /// Sets `rack_index` of each schedulable worker.
   explicit SchedulableWorkers(Fleet& fleet);
 
-  /// Calls `visit` with each worker on which at least `accelerators` are free,
-  /// in no order. Costs one step a worker that has them, or had them when they
-  /// were last looked for.
+  /// Calls `visit` with each worker that has at least `accelerators` free, in
+  /// no particular order. Takes linear time in the number of workers in the
+  /// buckets visited; workers whose free accelerators have changed since the
+  /// last visit are moved to their current bucket.
   template <typename Visit>
   void VisitWithFree(std::int64_t accelerators, Visit visit) {
     for (auto i = BucketOf(accelerators); i < buckets_.size(); ++i) {
@@ -34,8 +35,9 @@
         const auto* worker = bucket[k];
         const auto now = BucketOf(worker->Free().accelerators);
         if (now != i) {
-          // Room that was taken or given back since: moved to its bucket, to be
-          // seen there if that is still to come.
+          // Free accelerators have changed since: moves the worker to its
+          // current bucket, where it is visited if that bucket is still to
+          // come.
           bucket[k] = bucket.back();
           bucket.pop_back();
           buckets_[now].push_back(worker);
@@ -50,27 +52,29 @@
     }
   }
 
-  /// By name.
+  /// Sorted by name.
   const List& all() const { return all_; }
 
-  /// By rack, then by name.
+  /// Grouped by rack, and sorted by name within each rack.
   const std::map<base::RackName, List>& racks() const { return racks_; }
 
-  /// Accelerators that were free on a worker's rack when this was made.
+  /// Returns the accelerators that were free on the worker's rack when this
+  /// object was built.
   std::int64_t FreeOnRack(const FleetWorker& worker) const {
     return free_on_rack_[worker.rack_index];
   }
 
-  /// Accelerators of all of them, and those that were free when this was made.
+  /// Total accelerators of these workers, and those that were free when this
+  /// object was built.
   std::int64_t total_accelerators() const { return total_accelerators_; }
   std::int64_t free_accelerators() const { return free_accelerators_; }
 
-  /// Whether any is suspect, and whether any is not.
+  /// Whether any worker is risky, and whether any is not.
   bool has_risky() const { return has_risky_; }
   bool has_safe() const { return has_safe_; }
 
  private:
-  /// Workers with more free accelerators share the last bucket.
+  /// Workers with this many free accelerators or more share the last bucket.
   static constexpr std::size_t kMaxBucket = 16;
 
   static std::size_t BucketOf(std::int64_t accelerators) {
--- a/src/dispatch/task_planner.cc
+++ b/src/dispatch/task_planner.cc
@@ -25,10 +25,10 @@
   return out;
 }
 
-/// An accelerator weighs as much as so many cores, as the users reckon work.
+/// Weight of an accelerator in cores, as users account for work.
 constexpr double kCoresPerAccelerator = 8;
 
-double CoresOf(const jobs::Step& step) {
+double WeightedCores(const jobs::Step& step) {
   constexpr double kMillisPerCore = 1'000;
   return static_cast<double>(step.needs.cpu_millis) / kMillisPerCore +
          kCoresPerAccelerator * static_cast<double>(step.needs.accelerators);
@@ -38,23 +38,23 @@
   return std::chrono::duration<double>(time).count();
 }
 
-/// Whether one more failure of the unit is the end of its job.
+/// Whether one more failure of the unit fails its job.
 bool IsLastAttempt(const Unit& unit) {
   const auto& run = *unit.step_run;
   return !run.step->is_service &&
          unit.failures + 1 >= run.job->job->max_attempts;
 }
 
-/// Core-seconds that a unit takes by its estimate.
-double WorkOf(const StepRun& run) {
-  return CoresOf(*run.step) * run.TasksPerUnit() *
+/// Returns the estimated work of a unit, in core-seconds.
+double EstimatedWork(const StepRun& run) {
+  return WeightedCores(*run.step) * run.TasksPerUnit() *
          SecondsOf(run.step->run_time_estimate);
 }
 
-/// Core-seconds since a unit's last checkpoint.
-double LostBy(const Unit& unit, base::TimePoint now) {
-  const auto saved = std::max(unit.started_at, unit.checkpointed_at);
-  return SecondsOf(now - saved) * CoresOf(*unit.step_run->step) *
+/// Returns the work since the unit's last checkpoint, in core-seconds.
+double LostWork(const Unit& unit, base::TimePoint now) {
+  const auto last_saved_at = std::max(unit.started_at, unit.checkpointed_at);
+  return SecondsOf(now - last_saved_at) * WeightedCores(*unit.step_run->step) *
          unit.step_run->TasksPerUnit();
 }
 
@@ -68,29 +68,29 @@
 PlannerDecisions TaskPlanner::Decide(base::TimePoint now, int max_starts) {
   PlannerDecisions out;
   workers_.emplace(fleet_);
-  boards_.Clear();
+  candidate_sets_.Clear();
   starts_left_ = max_starts;
-  quiet_starts_left_ =
+  non_urgent_starts_left_ =
       max_starts - static_cast<int>(options_.urgent_start_share * max_starts);
   urgent_needs_ = UrgentNeeds();
   UpdateHeadroom(now);
   StartReserved(now, out);
-  for (auto* it : ReadyInOrder(now)) {
+  for (auto* it : SortedReadySteps(now)) {
     if (starts_left_ <= 0) {
       out.reached_start_limit = true;
       break;
     }
     StartReady(*it, now, out);
   }
-  boards_.Clear();
+  candidate_sets_.Clear();
   workers_.reset();
   return out;
 }
 
-/// Work that can be in time goes before work that cannot, urgent work before
-/// other, and then whatever has to begin first. Urgent work that is late still
-/// goes before what is not urgent: it is short.
-std::vector<StepRun*> TaskPlanner::ReadyInOrder(base::TimePoint now) const {
+/// Sorts steps that can be in time before those that cannot, urgent steps
+/// before others, and then by latest start time. Late urgent steps still go
+/// before non-urgent ones, since they are short.
+std::vector<StepRun*> TaskPlanner::SortedReadySteps(base::TimePoint now) const {
   const auto key = [&](StepRun* it) {
     const auto& job = *it->job;
     const auto status = DeadlineStatusOf(*it, now);
@@ -113,9 +113,10 @@
   return out;
 }
 
-/// Takes stock of the open workers: accelerators that are free, and what is
-/// kept for urgent work, which comes in bursts: without it each burst stops the
-/// quiet work that has just begun in the room of the last one.
+/// Counts the free accelerators of schedulable workers and computes the
+/// headroom for urgent work, which arrives in bursts. Without headroom, each
+/// burst would preempt non-urgent work that has just started on the resources
+/// of the previous burst.
 void TaskPlanner::UpdateHeadroom(base::TimePoint now) {
   std::int64_t urgent = 0;
   for (const auto* it : tracker_.active()) {
@@ -123,30 +124,30 @@
     urgent +=
         it->step_run->step->needs.accelerators * it->step_run->TasksPerUnit();
   }
-  const auto passed = std::max(now - peak_at_, base::Duration(0));
-  const double faded =
+  const auto elapsed = std::max(now - peak_at_, base::Duration(0));
+  const double decayed_peak =
       urgent_peak_ *
-      std::exp(-SecondsOf(passed) / SecondsOf(options_.peak_decay_time));
-  urgent_peak_ = std::max(faded, static_cast<double>(urgent));
+      std::exp(-SecondsOf(elapsed) / SecondsOf(options_.peak_decay_time));
+  urgent_peak_ = std::max(decayed_peak, static_cast<double>(urgent));
   peak_at_ = now;
   const auto all = workers_->total_accelerators();
   free_ = workers_->free_accelerators();
-  const auto most = options_.max_headroom_share * static_cast<double>(all);
+  const auto limit = options_.max_headroom_share * static_cast<double>(all);
   const auto wanted = urgent_peak_ - static_cast<double>(urgent);
-  headroom_ = static_cast<std::int64_t>(std::min(most, wanted));
+  headroom_ = static_cast<std::int64_t>(std::min(limit, wanted));
   is_half_free_ = 2 * free_ > all;
 }
 
-/// Counts the tasks of a unit that is started now; a reserved place was not
-/// among what was free.
+/// Subtracts the tasks of a unit that is being started from the limits. A
+/// reserved placement was not counted as free.
 void TaskPlanner::CountStart(const Unit& unit, bool was_free) {
   const int tasks = unit.step_run->TasksPerUnit();
   starts_left_ -= tasks;
-  quiet_starts_left_ -= tasks;
+  non_urgent_starts_left_ -= tasks;
   if (was_free) free_ -= unit.step_run->step->needs.accelerators * tasks;
 }
 
-/// Whether one more unit of a step would take room that is kept.
+/// Whether starting one more unit of the step would use headroom.
 bool TaskPlanner::MustLeaveHeadroom(const StepRun& run,
                                     base::TimePoint now) const {
   const auto& job = *run.job;
@@ -154,8 +155,8 @@
   const auto latest =
       job.accepted_at + job.latency_objective - run.critical_path;
   if (now + options_.min_slack_for_headroom > latest) return false;
-  const auto takes = run.step->needs.accelerators * run.TasksPerUnit();
-  return takes > 0 && free_ - takes < headroom_;
+  const auto needed = run.step->needs.accelerators * run.TasksPerUnit();
+  return needed > 0 && free_ - needed < headroom_;
 }
 
 DeadlineStatus TaskPlanner::DeadlineStatusOf(const StepRun& run,
@@ -164,16 +165,16 @@
   const auto left = base::Duration(static_cast<std::int64_t>(
       options_.required_time_share *
       static_cast<double>(run.critical_path.count())));
-  const auto begun = run.due_ms > 0 ? run.ready_since : job.accepted_at;
-  if (now + left > begun + options_.expiry_factor * job.latency_objective) {
+  const auto begin = run.due_ms > 0 ? run.ready_since : job.accepted_at;
+  if (now + left > begin + options_.expiry_factor * job.latency_objective) {
     return DeadlineStatus::kExpired;
   }
-  return now + left > begun + job.latency_objective ? DeadlineStatus::kLate
+  return now + left > begin + job.latency_objective ? DeadlineStatus::kLate
                                                     : DeadlineStatus::kInTime;
 }
 
-/// Accelerators that the urgent jobs of each organisation need at once, those
-/// that run included.
+/// Returns the accelerators that all urgent jobs of each organisation need
+/// together, including running ones.
 std::map<base::OrganisationName, std::int64_t> TaskPlanner::UrgentNeeds()
     const {
   std::map<base::OrganisationName, std::int64_t> out;
@@ -188,7 +189,7 @@
   return out;
 }
 
-/// Whether it is worth waiting for a place that is not slow.
+/// Whether waiting for the preferred rack can succeed.
 bool TaskPlanner::CouldFit(StepRun& run, base::TimePoint now) const {
   if (!PrefersRack(*run.step)) return true;
   if (run.fits_when_empty &&
@@ -209,7 +210,7 @@
          needs->second <= guarantee->second;
 }
 
-ReservationState TaskPlanner::StateOf(
+ReservationState TaskPlanner::GetReservationState(
     const std::vector<base::WorkerName>& placement, const Resources& needs) {
   std::map<base::WorkerName, Resources> wanted;
   for (const auto& it : placement) wanted[it] += needs;
@@ -223,9 +224,9 @@
   return is_free ? ReservationState::kFree : ReservationState::kOccupied;
 }
 
-/// Starts units whose reserved placement have become free, or that other places
-/// have become free for: stops of what is preempted take their time, and tasks
-/// end everywhere meanwhile.
+/// Starts units whose reserved workers have become free, or for which other
+/// workers have become free: stopping preempted units takes time, and other
+/// tasks end meanwhile.
 void TaskPlanner::StartReserved(base::TimePoint now, PlannerDecisions& out) {
   const std::vector<StepRun*> ready(tracker_.ready().begin(),
                                     tracker_.ready().end());
@@ -235,7 +236,7 @@
       if (unit.reserved.empty()) continue;
       const auto reserved = unit.reserved;
       tracker_.DropReservation(unit);
-      const auto state = StateOf(reserved, needs);
+      const auto state = GetReservationState(reserved, needs);
       if (state == ReservationState::kInvalid) continue;
       std::optional<Placement> placement = reserved;
       if (state == ReservationState::kOccupied) {
@@ -260,18 +261,19 @@
   const bool is_late = DeadlineStatusOf(run, now) != DeadlineStatus::kInTime;
   for (auto& unit : run.units) {
     if (unit.phase != UnitPhase::kWaiting || !unit.reserved.empty()) continue;
-    // Orders beyond what workers answer in time would wait behind each other.
-    if ((is_urgent ? starts_left_ : quiet_starts_left_) <= 0) {
+    // More start requests than workers answer in time would queue up behind
+    // each other.
+    if ((is_urgent ? starts_left_ : non_urgent_starts_left_) <= 0) {
       out.reached_start_limit = true;
       return;
     }
     const auto waited = now - unit.waiting_since;
     const bool is_starved = is_half_free_ && waited >= options_.rack_wait_limit;
     if (!is_starved && MustLeaveHeadroom(run, now)) return;
-    const auto patience = base::Duration(static_cast<std::int64_t>(
+    const auto max_rack_wait = base::Duration(static_cast<std::int64_t>(
         options_.rack_wait_factor *
         static_cast<double>(run.step->run_time_estimate.count())));
-    auto request = RequestFor(run, waited >= patience);
+    auto request = RequestFor(run, waited >= max_rack_wait);
     const bool is_suspect = IsSuspect(unit.losses);
     request.is_suspect = is_suspect && waited < options_.max_suspect_wait;
     if (is_urgent && is_late) request.allows_other_racks = true;
@@ -293,7 +295,8 @@
       out.starts.push_back(&unit);
       continue;
     }
-    // With so much room, whatever is stopped for its rack finds another place.
+    // With over half of the accelerators free, units that are preempted on the
+    // rack fit elsewhere.
     const bool is_off_rack_only =
         is_starved && FitsOffRack(unit, request, is_starved);
     const bool may_reclaim =
@@ -302,15 +305,16 @@
         TryReclaim(unit, is_guaranteed, now, out)) {
       continue;
     }
-    // What one task of the step does not get, its others do not get either,
-    // unless it asks for more than they do.
+    // If one task of the step does not fit, the others do not either, unless
+    // this one has stricter requirements.
     if (!IsLastAttempt(unit) && !is_suspect) return;
   }
 }
 
-/// Placement where the unit is not known to fail: not where it has failed, and
-/// not on suspect workers, unless it has attempts to spare or has waited long
-/// (`is_starved`), and finds no others.
+/// Returns a placement on workers where the unit is unlikely to fail: not where
+/// it has failed before, and not on risky workers. Falls back to those workers
+/// if there are no others; to risky ones only if the unit has attempts to
+/// spare, is starved, or no worker is safe.
 std::optional<Placement> TaskPlanner::FindPreferredPlacement(
     const Unit& unit, PlacementRequest request, bool is_starved) {
   if (!unit.failed_workers.empty())
@@ -318,10 +322,10 @@
   request.excludes_risky_workers = true;
   auto placement = FindPlacement(*workers_, request);
   if (placement) return placement;
-  // Where all are suspect, the job may be the cause as well as the worker.
-  const bool may_risk =
+  // If all workers are risky, the job may be the cause as well as the workers.
+  const bool may_use_risky =
       !IsLastAttempt(unit) || !workers_->has_safe() || is_starved;
-  if (workers_->has_risky() && may_risk) {
+  if (workers_->has_risky() && may_use_risky) {
     request.excludes_risky_workers = false;
     placement = FindPlacement(*workers_, request);
   }
@@ -330,7 +334,7 @@
   return FindPlacement(*workers_, request);
 }
 
-/// Whether only its wish for a rack keeps the unit from starting.
+/// Whether only its rack preference keeps the unit from starting.
 bool TaskPlanner::FitsOffRack(const Unit& unit, PlacementRequest request,
                               bool is_starved) {
   if (request.allows_other_racks || !PrefersRack(*request.step)) return false;
@@ -338,23 +342,23 @@
   return FindPreferredPlacement(unit, request, is_starved).has_value();
 }
 
-/// What stopping a unit costs: the work since its last checkpoint, and more
-/// where its job would then be late or it was started again before.
+/// Returns the cost of stopping a unit: the work since its last checkpoint, and
+/// more if its job would then be late or it was restarted before.
 double TaskPlanner::CostOf(const Unit& victim, base::TimePoint now) const {
   const auto& run = *victim.step_run;
-  auto out = LostBy(victim, now);
+  auto out = LostWork(victim, now);
   const auto latest =
       run.job->accepted_at + run.job->latency_objective - run.critical_path;
-  if (now > latest) out += WorkOf(run);
-  constexpr double kAgain = 0.25;
-  return out + kAgain * WorkOf(run) * (victim.last_run - 1);
+  if (now > latest) out += EstimatedWork(run);
+  constexpr double kRestartPenalty = 0.25;
+  return out + kRestartPenalty * EstimatedWork(run) * (victim.last_run - 1);
 }
 
-/// Units that may be stopped, the cheapest first; those that are being stopped
-/// anyway cost nothing: what is not urgent, and for a unit that is guaranteed
-/// its place, everything that no guarantee protects.
-std::vector<Victim> TaskPlanner::Victims(bool is_guaranteed,
-                                         base::TimePoint now) const {
+/// Returns the units that may be preempted, cheapest first. Units that are
+/// already being stopped cost nothing. Non-urgent units may be preempted, and
+/// for a unit within a guarantee also urgent ones that no guarantee protects.
+std::vector<Victim> TaskPlanner::FindVictims(bool is_guaranteed,
+                                             base::TimePoint now) const {
   std::vector<Victim> out;
   out.reserve(tracker_.active().size());
   for (auto* it : tracker_.active()) {
@@ -362,7 +366,7 @@
     if (it->phase == UnitPhase::kDone) continue;
     const bool is_urgent = job.job->priority == kUrgentPriority;
     if (is_urgent && (!is_guaranteed || IsGuaranteed(job))) continue;
-    // Urgent work is stopped for other urgent work only when nothing else does.
+    // Urgent work is preempted for other urgent work only as a last resort.
     constexpr double kUrgentCost = 1e6;
     const double extra = is_urgent ? kUrgentCost : 0;
     out.push_back({it, it->is_stopping ? 0 : extra + CostOf(*it, now)});
@@ -378,15 +382,17 @@
   return out;
 }
 
-/// Made when the first unit of the round asks for it.
-ReclaimCandidates& TaskPlanner::Board(bool is_guaranteed, base::TimePoint now) {
-  auto& out = is_guaranteed ? boards_.guaranteed : boards_.not_guaranteed;
-  if (!out) out.emplace(*workers_, Victims(is_guaranteed, now));
+/// Built on the first use in a scheduling round.
+ReclaimCandidates& TaskPlanner::Candidates(bool is_guaranteed,
+                                           base::TimePoint now) {
+  auto& out = is_guaranteed ? candidate_sets_.guaranteed
+                            : candidate_sets_.not_guaranteed;
+  if (!out) out.emplace(*workers_, FindVictims(is_guaranteed, now));
   return *out;
 }
 
-/// Finds the placement for `unit` that cost least, on one rack if it wants one,
-/// stops what is in the way and reserves them.
+/// Finds the cheapest placement for `unit`, on one rack if it prefers one,
+/// stops the units in the way and reserves the workers.
 bool TaskPlanner::TryReclaim(Unit& unit, bool is_guaranteed,
                              base::TimePoint now, PlannerDecisions& out) {
   const bool is_too_soon =
@@ -398,17 +404,17 @@
       (is_guaranteed &&
        now - unit.waiting_since >= options_.guaranteed_rack_wait) ||
       !CouldFit(*unit.step_run, now);
-  const auto& board = Board(is_guaranteed, now);
+  const auto& candidates = Candidates(is_guaranteed, now);
   std::optional<ReclaimPlan> best;
   if (!step.preferred_rack.empty()) {
-    best = board.FindOnRack(*unit.step_run, step.preferred_rack);
+    best = candidates.FindOnRack(*unit.step_run, step.preferred_rack);
   } else if (step.is_gang && step.prefers_single_rack) {
-    best = board.FindOnOneRack(*unit.step_run);
+    best = candidates.FindOnOneRack(*unit.step_run);
   } else {
-    best = board.FindAnywhere(*unit.step_run);
+    best = candidates.FindAnywhere(*unit.step_run);
   }
   if (!best && allows_other_racks && PrefersRack(step)) {
-    best = board.FindAnywhere(*unit.step_run);
+    best = candidates.FindAnywhere(*unit.step_run);
   }
   if (!best || WastesTooMuch(*best, unit, is_guaranteed, now)) {
     unit.reclaim_failed_at = now;
@@ -416,10 +422,11 @@
   }
   for (auto* it : best->victims) {
     if (it->is_stopping) continue;
-    out.preemptions.push_back({it, &unit, is_guaranteed, LostBy(*it, now)});
+    out.preemptions.push_back({it, &unit, is_guaranteed, LostWork(*it, now)});
     tracker_.Stop(*it);
   }
-  for (auto* it : {&boards_.guaranteed, &boards_.not_guaranteed}) {
+  for (auto* it :
+       {&candidate_sets_.guaranteed, &candidate_sets_.not_guaranteed}) {
     if (*it) (*it)->MarkStopped(*best);
   }
   tracker_.SetReservation(unit, best->placement);
@@ -429,9 +436,9 @@
 bool TaskPlanner::WastesTooMuch(const ReclaimPlan& plan, const Unit& unit,
                                 bool is_guaranteed, base::TimePoint now) const {
   if (is_guaranteed) return false;
-  double waste = 0;
-  for (const auto* it : plan.victims) waste += LostBy(*it, now);
-  return waste > options_.max_waste_factor * WorkOf(*unit.step_run);
+  double lost_work = 0;
+  for (const auto* it : plan.victims) lost_work += LostWork(*it, now);
+  return lost_work > options_.max_waste_factor * EstimatedWork(*unit.step_run);
 }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/waiting_count_writer.cc
+++ b/src/dispatch/waiting_count_writer.cc
@@ -12,8 +12,8 @@
 using store::RowsResult;
 using store::RowVersion;
 
-/// Callers are promised a recent count, not an exact one.
-constexpr base::Duration kEvery{400};
+/// Callers need a recent count, not an exact one.
+constexpr base::Duration kWriteInterval{400};
 
 }  // namespace
 
@@ -27,9 +27,9 @@
         fence_(fence),
         tracker_(tracker) {}
 
-  void Tick() {
+  void WriteIfChanged() {
     const auto counts = jobs::EncodeWaitingCounts(tracker_.CountWaitingJobs());
-    if (counts == written_) return Again();
+    if (counts == written_) return ScheduleNext();
     const std::string table(jobs::kWaitingCountsTable);
     const std::string key(jobs::kWaitingCountsKey);
     store_.Commit({part_,
@@ -56,12 +56,12 @@
           version_ = it.version;
       }
     }
-    Again();
+    ScheduleNext();
   }
 
-  void Again() {
-    loop_.After(kEvery, [weak = weak_from_this()] {
-      if (const auto self = weak.lock()) self->Tick();
+  void ScheduleNext() {
+    loop_.After(kWriteInterval, [weak = weak_from_this()] {
+      if (const auto self = weak.lock()) self->WriteIfChanged();
     });
   }
 
@@ -83,6 +83,6 @@
 
 WaitingCountWriter::~WaitingCountWriter() = default;
 
-void WaitingCountWriter::Start() { impl_->Tick(); }
+void WaitingCountWriter::Start() { impl_->WriteIfChanged(); }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/worker_drain.cc
+++ b/src/dispatch/worker_drain.cc
@@ -7,7 +7,7 @@
 
 constexpr int kWholePercent = 100;
 
-base::Duration Share(base::Duration time, double share) {
+base::Duration Scale(base::Duration time, double share) {
   return base::Duration(
       static_cast<std::int64_t>(static_cast<double>(time.count()) * share));
 }
@@ -19,7 +19,7 @@
                        if (it.state == MemberState::kTerminated) return false;
                        const auto departure = departures.find(it.worker);
                        if (departure == departures.end()) return false;
-                       // What lasts never ends by itself.
+                       // A service task never ends by itself.
                        if (unit.step_run->step->is_service) return true;
                        const auto end = now + RemainingWork(unit, it, now);
                        return end > departure->second + options.grace;
@@ -41,10 +41,10 @@
   const auto elapsed = member.last_progress_at - member.first_seen_at;
   if (gained <= 0 || elapsed <= zero) {
     const double share = static_cast<double>(left) / kWholePercent;
-    return std::max(zero, Share(estimate, share) - since);
+    return std::max(zero, Scale(estimate, share) - since);
   }
   const double share = static_cast<double>(left) / gained;
-  return std::max(zero, Share(elapsed, share) - since);
+  return std::max(zero, Scale(elapsed, share) - since);
 }
 
 std::vector<Unit*> FindUnitsToDrain(const JobTracker& tracker,
--- a/test/dispatch/job_tracker_test.cc
+++ b/test/dispatch/job_tracker_test.cc
@@ -20,15 +20,16 @@
   return out;
 }
 
-/// What a next owner reads of a tracker's job.
-jobs::JobProgress Reread(const JobTracker& tracker, const JobEntry& job) {
+/// Returns the progress that the next owner reads for a job.
+jobs::JobProgress EncodeAndDecode(const JobTracker& tracker,
+                                  const JobEntry& job) {
   const auto out =
       jobs::DecodeProgress(EncodeProgress(tracker.ProgressOf(job)));
   REQUIRE(out);
   return *out;
 }
 
-TEST_CASE("a failed end that is listed to two owners counts once") {
+TEST_CASE("a failed end that is reported to two owners counts once") {
   Fleet fleet;
   JobTracker tracker(fleet);
   const auto gang = Shared(GangOf(2));
@@ -38,8 +39,9 @@
   tracker.OnEnded(unit, 0, EndKind::kFailed, "", kNow);
   CHECK(unit.failures == 1);
 
-  // The record stands, the acknowledgement was not sent, the owner is gone.
-  const auto progress = Reread(tracker, *job);
+  // The failure was recorded, but the owner stopped before it acknowledged the
+  // end to the worker.
+  const auto progress = EncodeAndDecode(tracker, *job);
   Fleet next_fleet;
   JobTracker next(next_fleet);
   auto* again = next.Add(gang, &progress, 7, base::Duration(0), kNow);
@@ -50,7 +52,7 @@
   CHECK(again->state == jobs::JobState::kRunning);
 }
 
-TEST_CASE("each failed run counts, and the last allowed one ends the job") {
+TEST_CASE("each failed run counts, and the last allowed one fails the job") {
   Fleet fleet;
   JobTracker tracker(fleet);
   auto* job =
@@ -65,7 +67,7 @@
   CHECK(unit.last_run == 2);
 }
 
-TEST_CASE("progress survives being written and read") {
+TEST_CASE("progress is unchanged by encoding and decoding") {
   Fleet fleet;
   JobTracker tracker(fleet);
   const auto shared = Shared(OwnerWorld::MakeJob("map", 3, 1));
@@ -76,12 +78,12 @@
   tracker.Plan(units[1], {base::WorkerName("w1")}, kNow);
   JobTracker::OnCheckpoint(units[1], "half", kNow);
   const auto progress = tracker.ProgressOf(*job);
-  CHECK(Reread(tracker, *job) == progress);
+  CHECK(EncodeAndDecode(tracker, *job) == progress);
   CHECK(progress.units.size() == 2);
   CHECK(progress.units[1].checkpoint == "half");
 }
 
-TEST_CASE("occurrences begin at their times and the job ends with the last") {
+TEST_CASE("occurrences become ready when due and the job ends with the last") {
   Fleet fleet;
   JobTracker tracker(fleet);
   auto timed = OwnerWorld::MakeJob("timed", 1, 1);
--- a/test/dispatch/placer_test.cc
+++ b/test/dispatch/placer_test.cc
@@ -8,7 +8,8 @@
 
 constexpr jobs::Resources kWorker{64'000, 262'144, 8};
 
-/// Workers of eight accelerators, `per_rack` a rack, all workers.
+/// Returns schedulable workers with eight accelerators each, `per_rack` on a
+/// rack.
 Fleet MakeFleet(int workers, int per_rack) {
   Fleet out;
   for (int i = 0; i < workers; ++i) {
@@ -40,7 +41,7 @@
   return out;
 }
 
-Placement Called(const std::vector<const char*>& names) {
+Placement WorkerNames(const std::vector<const char*>& names) {
   return {names.begin(), names.end()};
 }
 
@@ -55,7 +56,7 @@
   const auto step = MakeStep(1, 1);
   auto request = RequestFor(step);
   request.is_suspect = true;
-  CHECK(FindPlacement(workers, request) == Called({"w1"}));
+  CHECK(FindPlacement(workers, request) == WorkerNames({"w1"}));
 }
 
 TEST_CASE(
@@ -67,59 +68,61 @@
   const auto step = MakeStep(1, 1);
   auto request = RequestFor(step);
   request.excludes_risky_workers = true;
-  CHECK(FindPlacement(workers, request) == Called({"w1"}));
+  CHECK(FindPlacement(workers, request) == WorkerNames({"w1"}));
   request.excludes_risky_workers = false;
-  CHECK(FindPlacement(workers, request) == Called({"w0"}));
+  CHECK(FindPlacement(workers, request) == WorkerNames({"w0"}));
 }
 
-TEST_CASE("a task goes where the fewest accelerators are left over") {
+TEST_CASE("a task is placed where the fewest accelerators are left over") {
   auto fleet = MakeFleet(3, 3);
   Allocate(fleet, "w1", 4);
   SchedulableWorkers workers(fleet);
   const auto step = MakeStep(1, 2);
-  CHECK(FindPlacement(workers, RequestFor(step)) == Called({"w1"}));
+  CHECK(FindPlacement(workers, RequestFor(step)) == WorkerNames({"w1"}));
 }
 
-TEST_CASE("among workers alike those on a fuller rack are taken first") {
+TEST_CASE("among equal workers those on a fuller rack are preferred") {
   auto fleet = MakeFleet(6, 2);
   Allocate(fleet, "w5", 8);
   SchedulableWorkers workers(fleet);
   const auto step = MakeStep(1, 1);
-  // Any whole worker leaves as much; w4 is on the rack with w5.
-  CHECK(FindPlacement(workers, RequestFor(step)) == Called({"w4"}));
-  // A worker that is in use already comes before that.
+  // All empty workers fit equally well; w4 shares its rack with w5, which is
+  // full.
+  CHECK(FindPlacement(workers, RequestFor(step)) == WorkerNames({"w4"}));
+  // A worker that is already in use is a better fit than an empty one.
   Allocate(fleet, "w0", 1);
   SchedulableWorkers again(fleet);
-  CHECK(FindPlacement(again, RequestFor(step)) == Called({"w0"}));
+  CHECK(FindPlacement(again, RequestFor(step)) == WorkerNames({"w0"}));
 }
 
-TEST_CASE("room that was taken or given back in between counts") {
+TEST_CASE("changes of free resources between searches are taken into account") {
   auto fleet = MakeFleet(2, 2);
   SchedulableWorkers workers(fleet);
   const auto step = MakeStep(1, 8);
   Allocate(fleet, "w0", 1);
-  CHECK(FindPlacement(workers, RequestFor(step)) == Called({"w1"}));
+  CHECK(FindPlacement(workers, RequestFor(step)) == WorkerNames({"w1"}));
   Allocate(fleet, "w1", 1);
   CHECK_FALSE(FindPlacement(workers, RequestFor(step)));
   fleet.Release(base::WorkerName("w0"), {0, 0, 1});
-  // The worker is at a lower level than it belongs to, and is found again once
-  // a search for less has passed it.
+  // The worker is in a lower bucket than its free accelerators require. A
+  // search for fewer accelerators visits that bucket and moves the worker.
   const auto small = MakeStep(1, 7);
-  CHECK(FindPlacement(workers, RequestFor(small)) == Called({"w1"}));
-  CHECK(FindPlacement(workers, RequestFor(step)) == Called({"w0"}));
+  CHECK(FindPlacement(workers, RequestFor(small)) == WorkerNames({"w1"}));
+  CHECK(FindPlacement(workers, RequestFor(step)) == WorkerNames({"w0"}));
 }
 
-TEST_CASE("a gang that wants one rack gets the one that it fills best") {
+TEST_CASE("a gang that prefers a single rack gets the best fitting one") {
   auto fleet = MakeFleet(6, 2);
   Allocate(fleet, "w2", 4);
   Allocate(fleet, "w5", 8);
   SchedulableWorkers workers(fleet);
   auto step = MakeStep(3, 4);
   step.is_gang = step.prefers_single_rack = true;
-  CHECK(FindPlacement(workers, RequestFor(step)) == Called({"w2", "w3", "w3"}));
+  CHECK(FindPlacement(workers, RequestFor(step)) ==
+        WorkerNames({"w2", "w3", "w3"}));
 }
 
-TEST_CASE("a gang that fits on no rack is spread only where that will do") {
+TEST_CASE("a gang that fits on no single rack is spread only if allowed") {
   auto fleet = MakeFleet(4, 2);
   Allocate(fleet, "w0", 8);
   Allocate(fleet, "w2", 8);
@@ -129,11 +132,11 @@
   auto request = RequestFor(step);
   CHECK_FALSE(FindPlacement(workers, request));
   request.allows_other_racks = true;
-  CHECK(FindPlacement(workers, request) == Called({"w1", "w3"}));
+  CHECK(FindPlacement(workers, request) == WorkerNames({"w1", "w3"}));
   CHECK(FitsWhenEmpty(workers, request));
 }
 
-TEST_CASE("what is larger than every rack could never fit on one") {
+TEST_CASE("a gang larger than every rack never fits on one") {
   auto fleet = MakeFleet(4, 2);
   SchedulableWorkers workers(fleet);
   auto step = MakeStep(3, 8);
@@ -143,14 +146,14 @@
   CHECK(FitsWhenEmpty(workers, RequestFor(step)));
 }
 
-TEST_CASE("limits a worker and labels hold") {
+TEST_CASE("limits per worker and required labels are respected") {
   auto fleet = MakeFleet(3, 3);
   fleet.Find(base::WorkerName("w2"))->labels = {"fast"};
   SchedulableWorkers workers(fleet);
   auto step = MakeStep(2, 1);
   step.is_gang = true;
   step.max_tasks_per_worker = 1;
-  CHECK(FindPlacement(workers, RequestFor(step)) == Called({"w0", "w1"}));
+  CHECK(FindPlacement(workers, RequestFor(step)) == WorkerNames({"w0", "w1"}));
   step.required_label = "fast";
   CHECK_FALSE(FindPlacement(workers, RequestFor(step)));
   CHECK_FALSE(FitsWhenEmpty(workers, RequestFor(step)));
--- a/test/dispatch/task_planner_test.cc
+++ b/test/dispatch/task_planner_test.cc
@@ -18,14 +18,15 @@
   return out;
 }
 
-/// Four workers of eight accelerators on two racks, and jobs on them.
-struct Place {
+/// Four workers with eight accelerators each on two racks, and the jobs that
+/// run on them.
+struct PlannerFixture {
   Fleet fleet;
   JobTracker tracker{fleet};
   TaskPlanner planner{tracker, fleet, {}};
   base::TimePoint now{Duration(100'000)};
 
-  Place() {
+  PlannerFixture() {
     for (const auto* name : {"a0", "a1", "b0", "b1"}) {
       WorkerEntry entry;
       entry.name = base::WorkerName(name);
@@ -43,7 +44,7 @@
     fleet.Allocate(base::WorkerName(worker), {64'000, 1'000, accelerators});
   }
 
-  /// A gang of two whole workers that wants one rack.
+  /// Adds a gang of two whole workers that prefers a single rack.
   Unit& AddRackGang(const char* name, Duration age = Duration(0)) {
     auto step = WholeWorkers(2);
     step.is_gang = true;
@@ -58,7 +59,8 @@
     job.name = base::JobName(name);
     job.priority = priority;
     job.max_attempts = attempts;
-    // Time to spare for urgent jobs, so that they may preempt others.
+    // Urgent jobs have time to spare, since only jobs that are in time may
+    // preempt others.
     if (priority == 0) job.slack_factor = 3;
     job.steps.push_back(step);
     return *tracker.Add(std::make_shared<const jobs::Job>(job), nullptr,
@@ -68,8 +70,9 @@
 
 /// Adds a job of `tasks` single tasks, each of a whole worker, that may run
 /// `attempts` times.
-JobEntry& AddTasks(Place& place, const char* name, int tasks, int attempts) {
-  return place.Add(name, 2, attempts, WholeWorkers(tasks));
+JobEntry& AddTasks(PlannerFixture& fixture, const char* name, int tasks,
+                   int attempts) {
+  return fixture.Add(name, 2, attempts, WholeWorkers(tasks));
 }
 
 /// Workers on which the units of a decision are started.
@@ -81,156 +84,159 @@
   return out;
 }
 
-TEST_CASE("a gang that wants one rack waits for it while it could fit there") {
-  Place place;
-  // A new owner has not heard any worker yet.
-  place.AddRackGang("gang");
-  CHECK(place.planner.Decide(place.now).starts.empty());
-  place.now += Duration(10);
-  place.OpenAll();
-  place.Fill("a0");
-  place.Fill("b0");
-  CHECK(place.planner.Decide(place.now).starts.empty());
-  // Off its rack it takes three times as long: it is spread when it has waited
-  // for twice its estimate.
-  place.now += Duration(8'100);
-  CHECK(place.planner.Decide(place.now).starts.size() == 1);
+TEST_CASE("a gang that prefers a single rack waits while it could fit on one") {
+  PlannerFixture fixture;
+  // No worker has registered with the new owner yet.
+  fixture.AddRackGang("gang");
+  CHECK(fixture.planner.Decide(fixture.now).starts.empty());
+  fixture.now += Duration(10);
+  fixture.OpenAll();
+  fixture.Fill("a0");
+  fixture.Fill("b0");
+  CHECK(fixture.planner.Decide(fixture.now).starts.empty());
+  // On several racks it takes three times as long, so it is spread after
+  // waiting for twice its estimate.
+  fixture.now += Duration(8'100);
+  CHECK(fixture.planner.Decide(fixture.now).starts.size() == 1);
 }
 
-TEST_CASE("a new owner goes on counting how long a gang has waited") {
-  Place place;
-  place.OpenAll();
-  place.Fill("a0");
-  place.Fill("b0");
-  place.AddRackGang("gang", Duration(8'100));
-  CHECK(place.planner.Decide(place.now).starts.size() == 1);
+TEST_CASE("the waiting time of a gang includes that under earlier owners") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  fixture.Fill("a0");
+  fixture.Fill("b0");
+  fixture.AddRackGang("gang", Duration(8'100));
+  CHECK(fixture.planner.Decide(fixture.now).starts.size() == 1);
 }
 
-TEST_CASE("with over half of the room free a gang gets its rack from others") {
-  Place place;
-  place.OpenAll();
-  auto& small = AddTasks(place, "small", 1, 2);
-  REQUIRE(place.planner.Decide(place.now).starts.size() == 1);
-  place.Fill("b0", 1);
-  auto& gang = place.AddRackGang("gang");
-  CHECK(place.planner.Decide(place.now).preemptions.empty());
-  place.now += Duration(1'500);
-  // What fills b0 is not known to be stoppable; the small task on a0 is.
-  const auto decisions = place.planner.Decide(place.now);
+TEST_CASE("with over half of the accelerators free a gang preempts on a rack") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  auto& small = AddTasks(fixture, "small", 1, 2);
+  REQUIRE(fixture.planner.Decide(fixture.now).starts.size() == 1);
+  fixture.Fill("b0", 1);
+  auto& gang = fixture.AddRackGang("gang");
+  CHECK(fixture.planner.Decide(fixture.now).preemptions.empty());
+  fixture.now += Duration(1'500);
+  // The usage of b0 belongs to no known unit and cannot be preempted; the small
+  // task on a0 can.
+  const auto decisions = fixture.planner.Decide(fixture.now);
   REQUIRE(decisions.preemptions.size() == 1);
   CHECK(decisions.preemptions[0].beneficiary == &gang);
   CHECK(decisions.preemptions[0].unit == &small.runs[0][0].units[0]);
 }
 
 TEST_CASE(
-    "with over half of the room free a gang is spread where no rack is to be "
-    "had") {
-  Place place;
-  place.OpenAll();
-  place.Fill("a0", 1);
-  place.Fill("b0", 1);
-  place.AddRackGang("gang");
-  place.now += Duration(1'500);
-  CHECK(place.planner.Decide(place.now).starts.empty());
-  place.now += Duration(1'000);
-  CHECK(place.planner.Decide(place.now).starts.size() == 1);
+    "with over half of the accelerators free a gang is spread if no rack "
+    "becomes available") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  fixture.Fill("a0", 1);
+  fixture.Fill("b0", 1);
+  fixture.AddRackGang("gang");
+  fixture.now += Duration(1'500);
+  CHECK(fixture.planner.Decide(fixture.now).starts.empty());
+  fixture.now += Duration(1'000);
+  CHECK(fixture.planner.Decide(fixture.now).starts.size() == 1);
 }
 
 TEST_CASE("a gang that fits on no rack is spread at once") {
-  Place place;
-  place.OpenAll();
-  place.fleet.Find(base::WorkerName("a0"))->is_schedulable = false;
-  place.fleet.Find(base::WorkerName("b0"))->is_schedulable = false;
-  place.AddRackGang("gang");
-  CHECK(place.planner.Decide(place.now).starts.size() == 1);
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  fixture.fleet.Find(base::WorkerName("a0"))->is_schedulable = false;
+  fixture.fleet.Find(base::WorkerName("b0"))->is_schedulable = false;
+  fixture.AddRackGang("gang");
+  CHECK(fixture.planner.Decide(fixture.now).starts.size() == 1);
 }
 
-TEST_CASE("suspect workers are taken last, and never for a last attempt") {
-  Place place;
-  place.OpenAll();
-  place.fleet.Find(base::WorkerName("a0"))->is_suspect = true;
-  place.fleet.Find(base::WorkerName("a1"))->is_suspect = true;
-  AddTasks(place, "first", 1, 2);
-  CHECK(WorkersOf(place.planner.Decide(place.now)) ==
+TEST_CASE("suspect workers are used last, and never for a last attempt") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  fixture.fleet.Find(base::WorkerName("a0"))->is_suspect = true;
+  fixture.fleet.Find(base::WorkerName("a1"))->is_suspect = true;
+  AddTasks(fixture, "first", 1, 2);
+  CHECK(WorkersOf(fixture.planner.Decide(fixture.now)) ==
         std::set<std::string>{"b0"});
-  // Only one of two tasks without a failure to spare finds a sound worker.
-  auto& last = AddTasks(place, "last", 2, 1);
-  CHECK(WorkersOf(place.planner.Decide(place.now)) ==
+  // Only one of the two tasks that have no attempt to spare finds a worker that
+  // is not suspect.
+  auto& last = AddTasks(fixture, "last", 2, 1);
+  CHECK(WorkersOf(fixture.planner.Decide(fixture.now)) ==
         std::set<std::string>{"b1"});
-  AddTasks(place, "other", 1, 2);
-  CHECK(WorkersOf(place.planner.Decide(place.now)) ==
+  AddTasks(fixture, "other", 1, 2);
+  CHECK(WorkersOf(fixture.planner.Decide(fixture.now)) ==
         std::set<std::string>{"a0"});
-  place.fleet.Find(base::WorkerName("a1"))->is_suspect = false;
-  CHECK(WorkersOf(place.planner.Decide(place.now)) ==
+  fixture.fleet.Find(base::WorkerName("a1"))->is_suspect = false;
+  CHECK(WorkersOf(fixture.planner.Decide(fixture.now)) ==
         std::set<std::string>{"a1"});
   CHECK(last.runs.front().front().units.back().last_run == 1);
 }
 
-TEST_CASE("a failed task with one attempt left spares no suspect worker") {
-  Place place;
-  place.OpenAll();
-  auto& job = AddTasks(place, "job", 1, 2);
+TEST_CASE("a failed task with one attempt left avoids suspect workers") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  auto& job = AddTasks(fixture, "job", 1, 2);
   auto& unit = job.runs.front().front().units.front();
-  REQUIRE(place.planner.Decide(place.now).starts.size() == 1);
+  REQUIRE(fixture.planner.Decide(fixture.now).starts.size() == 1);
   const auto first = unit.members.front().worker;
-  place.tracker.OnEnded(unit, 0, EndKind::kFailed, "", place.now);
-  // It failed on one worker; all others but one have failed another task.
-  for (auto& [name, worker] : place.fleet.workers()) {
+  fixture.tracker.OnEnded(unit, 0, EndKind::kFailed, "", fixture.now);
+  // It failed on one worker, and on all others but one another task has failed.
+  for (auto& [name, worker] : fixture.fleet.workers()) {
     worker.is_suspect = name.str() != "b1";
   }
-  CHECK(WorkersOf(place.planner.Decide(place.now)) ==
+  CHECK(WorkersOf(fixture.planner.Decide(fixture.now)) ==
         std::set<std::string>{"b1"});
   CHECK(unit.members.front().worker != first);
 }
 
-TEST_CASE("nothing is stopped for a place on a suspect worker") {
-  Place place;
-  place.OpenAll();
-  AddTasks(place, "quiet", 4, 2);
-  REQUIRE(place.planner.Decide(place.now).starts.size() == 4);
-  for (auto& [name, worker] : place.fleet.workers()) worker.is_suspect = true;
-  place.Add("urgent", 0, 3, WholeWorkers(1));
-  CHECK(place.planner.Decide(place.now).preemptions.empty());
-  place.fleet.Find(base::WorkerName("b0"))->is_suspect = false;
-  // What was not found is looked for again after a short time.
-  place.now += Duration(100);
-  CHECK(place.planner.Decide(place.now).preemptions.size() == 1);
+TEST_CASE("nothing is preempted on a suspect worker") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  AddTasks(fixture, "quiet", 4, 2);
+  REQUIRE(fixture.planner.Decide(fixture.now).starts.size() == 4);
+  for (auto& [name, worker] : fixture.fleet.workers()) worker.is_suspect = true;
+  fixture.Add("urgent", 0, 3, WholeWorkers(1));
+  CHECK(fixture.planner.Decide(fixture.now).preemptions.empty());
+  fixture.fleet.Find(base::WorkerName("b0"))->is_suspect = false;
+  // A failed search is repeated after a short interval.
+  fixture.now += Duration(100);
+  CHECK(fixture.planner.Decide(fixture.now).preemptions.size() == 1);
 }
 
-TEST_CASE("a unit takes room that is free before its reserved place is") {
-  Place place;
-  place.OpenAll();
-  AddTasks(place, "quiet", 4, 3);
-  CHECK(place.planner.Decide(place.now).starts.size() == 4);
-  place.now += Duration(100);
-  auto& urgent = place.Add("urgent", 0, 3, WholeWorkers(1));
-  CHECK(place.planner.Decide(place.now).preemptions.size() == 1);
+TEST_CASE("a unit starts on free workers before its reserved worker is free") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  AddTasks(fixture, "quiet", 4, 3);
+  CHECK(fixture.planner.Decide(fixture.now).starts.size() == 4);
+  fixture.now += Duration(100);
+  auto& urgent = fixture.Add("urgent", 0, 3, WholeWorkers(1));
+  CHECK(fixture.planner.Decide(fixture.now).preemptions.size() == 1);
   auto& unit = urgent.runs.front().front().units.front();
   REQUIRE(unit.reserved.size() == 1);
   // Another task ends while the preempted one is still being stopped.
   auto& quiet =
-      place.tracker.Find(base::JobName("quiet"))->runs.front().front();
+      fixture.tracker.Find(base::JobName("quiet"))->runs.front().front();
   for (auto& it : quiet.units) {
     if (it.is_stopping) continue;
-    place.tracker.OnEnded(it, it.first_index, EndKind::kDone, "", place.now);
+    fixture.tracker.OnEnded(it, it.first_index, EndKind::kDone, "",
+                            fixture.now);
     break;
   }
-  place.now += Duration(100);
-  const auto decisions = place.planner.Decide(place.now);
+  fixture.now += Duration(100);
+  const auto decisions = fixture.planner.Decide(fixture.now);
   REQUIRE(decisions.starts.size() == 1);
   CHECK(decisions.starts.front() == &unit);
   CHECK(unit.reserved.empty());
 }
 
-TEST_CASE("what it costs to make room is told with each preempted unit") {
-  Place place;
-  place.OpenAll();
-  auto& quiet = place.AddRackGang("quiet");
-  place.AddRackGang("quiet2");
-  CHECK(place.planner.Decide(place.now).starts.size() == 2);
-  place.now += Duration(500);
-  place.Add("urgent", 0, 1, WholeWorkers(1));
-  const auto decisions = place.planner.Decide(place.now);
+TEST_CASE("each preemption reports the work that is lost") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  auto& quiet = fixture.AddRackGang("quiet");
+  fixture.AddRackGang("quiet2");
+  CHECK(fixture.planner.Decide(fixture.now).starts.size() == 2);
+  fixture.now += Duration(500);
+  fixture.Add("urgent", 0, 1, WholeWorkers(1));
+  const auto decisions = fixture.planner.Decide(fixture.now);
   CHECK(decisions.starts.empty());
   REQUIRE(decisions.preemptions.size() == 1);
   CHECK(decisions.preemptions[0].unit == &quiet);
@@ -247,48 +253,48 @@
   return out;
 }
 
-TEST_CASE("no more tasks start at once than are asked for") {
-  Place place;
-  place.OpenAll();
-  place.Add("quiet", 2, 2, SmallTasks(20));
+TEST_CASE("no more tasks start at once than the limit allows") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  fixture.Add("quiet", 2, 2, SmallTasks(20));
   constexpr int kMost = 8;
-  const auto first = place.planner.Decide(place.now, kMost);
-  // A quarter is left for urgent work.
+  const auto first = fixture.planner.Decide(fixture.now, kMost);
+  // A quarter of the starts is reserved for urgent work.
   CHECK(first.starts.size() == 6);
   CHECK(first.reached_start_limit);
-  place.Add("urgent", 0, 2, SmallTasks(20));
-  const auto second = place.planner.Decide(place.now, kMost);
+  fixture.Add("urgent", 0, 2, SmallTasks(20));
+  const auto second = fixture.planner.Decide(fixture.now, kMost);
   CHECK(second.starts.size() == 8);
   for (const auto* it : second.starts) {
     CHECK(it->step_run->job->job->priority == 0);
   }
-  CHECK_FALSE(place.planner.Decide(place.now).reached_start_limit);
+  CHECK_FALSE(fixture.planner.Decide(fixture.now).reached_start_limit);
 }
 
-TEST_CASE("a gang starts whole when it passes what is asked for") {
-  Place place;
-  place.OpenAll();
+TEST_CASE("a gang starts as a whole even if it exceeds the limit") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
   auto step = WholeWorkers(3);
   step.is_gang = true;
-  place.Add("gang", 0, 2, step);
-  place.Add("next", 0, 2, SmallTasks(1));
-  const auto decisions = place.planner.Decide(place.now, 1);
+  fixture.Add("gang", 0, 2, step);
+  fixture.Add("next", 0, 2, SmallTasks(1));
+  const auto decisions = fixture.planner.Decide(fixture.now, 1);
   REQUIRE(decisions.starts.size() == 1);
   CHECK(decisions.starts.front()->members.size() == 3);
   CHECK(decisions.reached_start_limit);
-  CHECK(place.planner.Decide(place.now, 0).starts.empty());
+  CHECK(fixture.planner.Decide(fixture.now, 0).starts.empty());
 }
 
-TEST_CASE("what is already stopped for one unit costs the next nothing") {
-  Place place;
-  place.OpenAll();
-  // Each worker is taken by eight small tasks.
-  place.Add("quiet", 2, 2, SmallTasks(32));
-  REQUIRE(place.planner.Decide(place.now).starts.size() == 32);
-  place.now += Duration(200);
-  place.Add("first", 0, 3, SmallTasks(1));
-  place.Add("second", 0, 3, SmallTasks(1));
-  const auto decisions = place.planner.Decide(place.now);
+TEST_CASE("two units preempt different victims in one round") {
+  PlannerFixture fixture;
+  fixture.OpenAll();
+  // Each worker is filled by eight small tasks.
+  fixture.Add("quiet", 2, 2, SmallTasks(32));
+  REQUIRE(fixture.planner.Decide(fixture.now).starts.size() == 32);
+  fixture.now += Duration(200);
+  fixture.Add("first", 0, 3, SmallTasks(1));
+  fixture.Add("second", 0, 3, SmallTasks(1));
+  const auto decisions = fixture.planner.Decide(fixture.now);
   CHECK(decisions.preemptions.size() == 2);
   std::set<const Unit*> stopped;
   for (const auto& it : decisions.preemptions) stopped.insert(it.unit);
--- a/test/dispatch/worker_drain_test.cc
+++ b/test/dispatch/worker_drain_test.cc
@@ -9,7 +9,7 @@
 
 const base::TimePoint kStart{Duration(10'000)};
 
-/// One unit with one member of a step whose estimate is 4 s.
+/// A unit with one member, of a step whose estimate is 4 s.
 struct OneTask {
   jobs::Step step;
   StepRun run;
@@ -25,34 +25,35 @@
 
   Member& member() { return unit.members.front(); }
 
-  Duration LeftAfter(int ms) {
+  Duration RemainingAfter(int ms) {
     return RemainingWork(unit, member(), kStart + Duration(ms));
   }
 };
 
-TEST_CASE("without progress the estimate tells how much work is left") {
+TEST_CASE("without progress the remaining work is based on the estimate") {
   OneTask it;
-  CHECK(it.LeftAfter(1'000) == Duration(3'000));
-  CHECK(it.LeftAfter(9'000) == Duration(0));
+  CHECK(it.RemainingAfter(1'000) == Duration(3'000));
+  CHECK(it.RemainingAfter(9'000) == Duration(0));
 }
 
-TEST_CASE("progress tells more of the work that is left than the estimate") {
+TEST_CASE("the rate of progress takes precedence over the estimate") {
   OneTask it;
   it.member().first_percent = 50;
   it.member().first_seen_at = kStart + Duration(500);
   it.member().percent = 60;
   it.member().last_progress_at = kStart + Duration(1'500);
-  // A tenth a second: 40 more take 4 s, half a second of which has passed.
-  CHECK(it.LeftAfter(2'000) == Duration(3'500));
+  // Progress is 10% per second: the remaining 40% take 4 s, of which half a
+  // second has passed.
+  CHECK(it.RemainingAfter(2'000) == Duration(3'500));
 }
 
-TEST_CASE("a first look takes its share of the estimate") {
+TEST_CASE("the first progress report scales the estimate") {
   OneTask it;
   it.member().first_percent = 25;
   it.member().first_seen_at = kStart + Duration(800);
   it.member().percent = 25;
   it.member().last_progress_at = it.member().first_seen_at;
-  CHECK(it.LeftAfter(800) == Duration(3'000));
+  CHECK(it.RemainingAfter(800) == Duration(3'000));
 }
 
 }  // namespace
--- a/test/dispatch/worker_health_test.cc
+++ b/test/dispatch/worker_health_test.cc
@@ -14,7 +14,8 @@
                         kNow);
 }
 
-TEST_CASE("failures of several jobs in a row put a worker out for a time") {
+TEST_CASE(
+    "consecutive failures of several jobs quarantine a worker temporarily") {
   WorkerHealth health({});
   CHECK_FALSE(Fail(health, "a"));
   CHECK_FALSE(Fail(health, "b"));
@@ -24,12 +25,12 @@
   CHECK_FALSE(health.IsQuarantined(kWorker));
 }
 
-TEST_CASE("one job that always fails puts no worker out") {
+TEST_CASE("one job that always fails does not quarantine a worker") {
   WorkerHealth health({});
   for (int i = 0; i < 10; ++i) CHECK_FALSE(Fail(health, "poison"));
 }
 
-TEST_CASE("a task that ends well clears a worker's failures") {
+TEST_CASE("a successful task clears a worker's failures") {
   WorkerHealth health({});
   Fail(health, "a");
   Fail(health, "b");
@@ -38,8 +39,7 @@
   CHECK_FALSE(health.IsQuarantined(kWorker));
 }
 
-TEST_CASE(
-    "one failure makes a worker suspect for a time, or until a good end") {
+TEST_CASE("one failure makes a worker suspect for a time or until a success") {
   WorkerHealth health({});
   CHECK_FALSE(health.IsSuspect(kWorker, kNow));
   Fail(health, "a");
@@ -52,7 +52,7 @@
   CHECK_FALSE(health.IsSuspect(kWorker, kNow));
 }
 
-TEST_CASE("no more than a fifth of the workers are out at once") {
+TEST_CASE("at most a fifth of the workers are quarantined at once") {
   WorkerHealth health({});
   int out = 0;
   for (int i = 0; i < static_cast<int>(kFleet); ++i) {
