--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -41,16 +41,17 @@
 }
 
 void Fleet::Allocate(const base::WorkerName& name,
-                     const jobs::Resources& room) {
+                     const jobs::Resources& resources) {
   auto& worker = workers_[name];
   worker.name = name;
-  worker.used += room;
+  worker.used += resources;
 }
 
-void Fleet::Release(const base::WorkerName& name, const jobs::Resources& room) {
+void Fleet::Release(const base::WorkerName& name,
+                    const jobs::Resources& resources) {
   const auto it = workers_.find(name);
   if (it == workers_.end()) return;
-  it->second.used -= room;
+  it->second.used -= resources;
   const bool is_unused = it->second.used == jobs::Resources{};
   if (!it->second.is_known && is_unused) workers_.erase(it);
 }
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -86,8 +86,8 @@
 
   /// Allocates or releases resources, also on workers whose capacity is
   /// unknown.
-  void Allocate(const base::WorkerName& name, const jobs::Resources& room);
-  void Release(const base::WorkerName& name, const jobs::Resources& room);
+  void Allocate(const base::WorkerName& name, const jobs::Resources& resources);
+  void Release(const base::WorkerName& name, const jobs::Resources& resources);
 
   /// Adds `n`, which may be negative, to the number of suspect tasks on the
   /// worker.
--- a/src/dispatch/internal/job_tracker.h
+++ b/src/dispatch/internal/job_tracker.h
@@ -21,7 +21,7 @@
 /// stores nothing: callers read `dirty` for progress to record and `to_stop`
 /// for units to stop.
 ///
-/// This class prevents a task from running twice at a time: a unit returns to
+/// This class prevents two runs of a task at the same time: a unit returns to
 /// waiting only in `Finish`, when every member of its last run is terminated.
 /// Only OnEnded, OnRefused and OnLost terminate a member, and each documents
 /// why the member can no longer run.
--- a/src/dispatch/internal/reclaim.h
+++ b/src/dispatch/internal/reclaim.h
@@ -51,7 +51,8 @@
   void MarkStopped(const ReclaimPlan& plan);
 
  private:
-  /// A unit on one worker, and the resources that stopping it freed there.
+  /// A unit on one worker, and the resources that are freed there by stopping
+  /// it.
   struct Stop {
     Unit* unit = nullptr;
     double cost = 0;
--- a/src/dispatch/internal/task_planner.h
+++ b/src/dispatch/internal/task_planner.h
@@ -151,10 +151,10 @@
   std::map<base::OrganisationName, std::int64_t> guarantees_;
   /// Decaying peak of the accelerators in use by urgent work.
   double urgent_peak_ = 0;
-  base::TimePoint peak_at_{};
+  base::TimePoint peak_updated_at_{};
   /// State of the current call of Decide.
   std::int64_t headroom_ = 0;
-  std::int64_t free_ = 0;
+  std::int64_t free_accelerators_ = 0;
   bool is_half_free_ = false;
   int starts_left_ = 0;
   int non_urgent_starts_left_ = 0;
--- a/src/dispatch/placer.cc
+++ b/src/dispatch/placer.cc
@@ -14,7 +14,7 @@
 /// A worker that may run tasks of the step.
 struct Candidate {
   const FleetWorker* worker = nullptr;
-  Resources room;
+  Resources free_resources;
   /// How many more tasks of the step it may run.
   int tasks_left = 0;
   /// Free accelerators on its rack.
@@ -49,24 +49,27 @@
   Candidates out;
   const auto needs = ResourcesPerTask(*request.step);
   workers.VisitWithFree(needs.accelerators, [&](const FleetWorker& worker) {
-    const auto room = worker.Free();
-    if (!room.Covers(needs) || !IsAllowed(worker, request)) return;
+    const auto free_resources = worker.Free();
+    if (!free_resources.Covers(needs) || !IsAllowed(worker, request)) return;
     const int left = TasksLeft(worker, request);
     if (left > 0)
-      out.push_back({&worker, room, left, workers.FreeOnRack(worker)});
+      out.push_back(
+          {&worker, free_resources, left, workers.FreeOnRack(worker)});
   });
   return out;
 }
 
-/// Returns how many tasks of `needs` fit into `room`, up to `most`.
-int CountFitting(const Resources& room, const Resources& needs, int most) {
+/// Returns how many tasks of `needs` fit into `free_resources`, up to `most`.
+int CountFitting(const Resources& free_resources, const Resources& needs,
+                 int most) {
   const auto fit = [](std::int64_t available, std::int64_t needed) {
     return needed > 0 ? available / needed
                       : std::numeric_limits<std::int64_t>::max();
   };
-  const auto n = std::min({fit(room.cpu_millis, needs.cpu_millis),
-                           fit(room.memory_mb, needs.memory_mb),
-                           fit(room.accelerators, needs.accelerators)});
+  const auto n =
+      std::min({fit(free_resources.cpu_millis, needs.cpu_millis),
+                fit(free_resources.memory_mb, needs.memory_mb),
+                fit(free_resources.accelerators, needs.accelerators)});
   return static_cast<int>(std::clamp<std::int64_t>(n, 0, most));
 }
 
@@ -74,15 +77,16 @@
 /// worker, then on its rack, so that whole racks stay free for gangs, then less
 /// free CPU.
 auto BestFitKey(const Candidate& it) {
-  return std::tie(it.room.accelerators, it.rack_free, it.room.cpu_millis,
-                  it.worker->name);
+  return std::tie(it.free_resources.accelerators, it.rack_free,
+                  it.free_resources.cpu_millis, it.worker->name);
 }
 
 /// Sort key that puts the emptiest worker first, so that a crash affects the
 /// fewest other tasks.
 auto EmptiestFirstKey(const Candidate& it) {
   const std::string_view name = it.worker->name.str();
-  return std::tuple(-it.room.accelerators, -it.room.cpu_millis, name);
+  return std::tuple(-it.free_resources.accelerators,
+                    -it.free_resources.cpu_millis, name);
 }
 
 /// Places all tasks on `candidates` by best fit, or on the emptiest first for
@@ -104,8 +108,8 @@
     std::pop_heap(candidates.begin(), candidates.end(), is_worse);
     const auto& best = candidates.back();
     const auto wanted = static_cast<int>(tasks - out.size());
-    const int n =
-        CountFitting(best.room, needs, std::min(wanted, best.tasks_left));
+    const int n = CountFitting(best.free_resources, needs,
+                               std::min(wanted, best.tasks_left));
     out.insert(out.end(), static_cast<std::size_t>(n), best.worker->name);
     candidates.pop_back();
   }
@@ -124,8 +128,8 @@
   std::map<base::RackName, RackCapacity> racks;
   for (const auto& it : candidates) {
     auto& rack = racks[it.worker->rack];
-    rack.tasks += CountFitting(it.room, needs, it.tasks_left);
-    rack.accelerators += it.room.accelerators;
+    rack.tasks += CountFitting(it.free_resources, needs, it.tasks_left);
+    rack.accelerators += it.free_resources.accelerators;
   }
   const base::RackName* best = nullptr;
   std::int64_t best_free = 0;
--- a/src/dispatch/reclaim.cc
+++ b/src/dispatch/reclaim.cc
@@ -19,11 +19,11 @@
 /// A search for a placement on the given workers.
 class ReclaimCandidates::Search {
  public:
-  Search(const ReclaimCandidates& board, const StepRun& run,
+  Search(const ReclaimCandidates& candidates, const StepRun& run,
          const SchedulableWorkers::List& workers)
       : run_(run), needs_(ResourcesPerTask(*run.step)) {
     hosts_.reserve(workers.size());
-    for (const auto* it : workers) AddHost(board, *it);
+    for (const auto* it : workers) AddHost(candidates, *it);
     for (auto& it : hosts_) UpdateNextStops(it);
   }
 
@@ -46,7 +46,7 @@
   struct Host {
     const FleetWorker* worker = nullptr;
     const Stops* stops = nullptr;
-    Resources room;
+    Resources free_resources;
     int tasks_left = 0;
     /// Stops before this index are already part of the plan.
     std::size_t next = 0;
@@ -57,7 +57,7 @@
     double cost = 0;
   };
 
-  void AddHost(const ReclaimCandidates& board, const FleetWorker& worker) {
+  void AddHost(const ReclaimCandidates& candidates, const FleetWorker& worker) {
     // No unit is stopped for a worker on which the new unit may well fail.
     if (worker.IsRisky()) return;
     const auto& step = *run_.step;
@@ -71,8 +71,8 @@
     }
     Host host;
     host.worker = &worker;
-    host.stops = &board.StopsOn(worker.name);
-    host.room = worker.Free();
+    host.stops = &candidates.StopsOn(worker.name);
+    host.free_resources = worker.Free();
     host.tasks_left = left;
     hosts_.push_back(host);
   }
@@ -84,18 +84,18 @@
   void UpdateNextStops(Host& host) const {
     host.can_host = false;
     if (host.tasks_left <= 0) return;
-    auto room = host.room;
+    auto free_resources = host.free_resources;
     host.cost = 0;
     host.end = host.next;
-    while (!room.Covers(needs_) && host.end < host.stops->size()) {
+    while (!free_resources.Covers(needs_) && host.end < host.stops->size()) {
       const auto& stop = (*host.stops)[host.end++];
       if (!MayStop(*stop.unit)) continue;
-      room += stop.freed;
+      free_resources += stop.freed;
       if (!stopped_.contains(stop.unit)) {
         host.cost += CurrentCost(*stop.unit, stop.cost);
       }
     }
-    host.can_host = room.Covers(needs_);
+    host.can_host = free_resources.Covers(needs_);
   }
 
   void AssignTask(Host& host, ReclaimPlan& plan) {
@@ -105,12 +105,12 @@
     for (; host.next < host.end; ++host.next) {
       const auto& stop = (*host.stops)[host.next];
       if (!MayStop(*stop.unit)) continue;
-      host.room += stop.freed;
+      host.free_resources += stop.freed;
       if (!stopped_.insert(stop.unit).second) continue;
       plan.victims.push_back(stop.unit);
       has_stopped_gang = has_stopped_gang || stop.unit->members.size() > 1;
     }
-    host.room -= needs_;
+    host.free_resources -= needs_;
     --host.tasks_left;
     UpdateNextStops(host);
     // Stopping a gang stops its tasks on other workers too, which lowers the
--- a/src/dispatch/schedulable_workers.h
+++ b/src/dispatch/schedulable_workers.h
@@ -35,9 +35,9 @@
         const auto* worker = bucket[k];
         const auto now = BucketOf(worker->Free().accelerators);
         if (now != i) {
-          // Free accelerators have changed since: moves the worker to its
-          // current bucket, where it is visited if that bucket is still to
-          // come.
+          // The number of free accelerators has changed since the last visit.
+          // Moves the worker to its current bucket, where it is visited if that
+          // bucket is still to come.
           bucket[k] = bucket.back();
           bucket.pop_back();
           buckets_[now].push_back(worker);
--- a/src/dispatch/task_planner.cc
+++ b/src/dispatch/task_planner.cc
@@ -124,27 +124,29 @@
     urgent +=
         it->step_run->step->needs.accelerators * it->step_run->TasksPerUnit();
   }
-  const auto elapsed = std::max(now - peak_at_, base::Duration(0));
+  const auto elapsed = std::max(now - peak_updated_at_, base::Duration(0));
   const double decayed_peak =
       urgent_peak_ *
       std::exp(-SecondsOf(elapsed) / SecondsOf(options_.peak_decay_time));
   urgent_peak_ = std::max(decayed_peak, static_cast<double>(urgent));
-  peak_at_ = now;
+  peak_updated_at_ = now;
   const auto all = workers_->total_accelerators();
-  free_ = workers_->free_accelerators();
+  free_accelerators_ = workers_->free_accelerators();
   const auto limit = options_.max_headroom_share * static_cast<double>(all);
   const auto wanted = urgent_peak_ - static_cast<double>(urgent);
   headroom_ = static_cast<std::int64_t>(std::min(limit, wanted));
-  is_half_free_ = 2 * free_ > all;
+  is_half_free_ = 2 * free_accelerators_ > all;
 }
 
-/// Subtracts the tasks of a unit that is being started from the limits. A
-/// reserved placement was not counted as free.
+/// Subtracts the tasks of a unit that is being started from the remaining
+/// starts, and their accelerators from the free ones. A reserved placement was
+/// not counted as free.
 void TaskPlanner::CountStart(const Unit& unit, bool was_free) {
   const int tasks = unit.step_run->TasksPerUnit();
   starts_left_ -= tasks;
   non_urgent_starts_left_ -= tasks;
-  if (was_free) free_ -= unit.step_run->step->needs.accelerators * tasks;
+  if (was_free)
+    free_accelerators_ -= unit.step_run->step->needs.accelerators * tasks;
 }
 
 /// Whether starting one more unit of the step would use headroom.
@@ -156,7 +158,7 @@
       job.accepted_at + job.latency_objective - run.critical_path;
   if (now + options_.min_slack_for_headroom > latest) return false;
   const auto needed = run.step->needs.accelerators * run.TasksPerUnit();
-  return needed > 0 && free_ - needed < headroom_;
+  return needed > 0 && free_accelerators_ - needed < headroom_;
 }
 
 DeadlineStatus TaskPlanner::DeadlineStatusOf(const StepRun& run,
@@ -215,11 +217,11 @@
   std::map<base::WorkerName, Resources> wanted;
   for (const auto& it : placement) wanted[it] += needs;
   bool is_free = true;
-  for (const auto& [name, room] : wanted) {
+  for (const auto& [name, resources] : wanted) {
     const auto* worker = fleet_.Find(name);
     if (worker == nullptr || !worker->is_schedulable)
       return ReservationState::kInvalid;
-    is_free = is_free && worker->Free().Covers(room);
+    is_free = is_free && worker->Free().Covers(resources);
   }
   return is_free ? ReservationState::kFree : ReservationState::kOccupied;
 }
--- a/test/dispatch/placer_test.cc
+++ b/test/dispatch/placer_test.cc
@@ -91,8 +91,9 @@
   CHECK(FindPlacement(workers, RequestFor(step)) == WorkerNames({"w4"}));
   // A worker that is already in use is a better fit than an empty one.
   Allocate(fleet, "w0", 1);
-  SchedulableWorkers again(fleet);
-  CHECK(FindPlacement(again, RequestFor(step)) == WorkerNames({"w0"}));
+  SchedulableWorkers updated_workers(fleet);
+  CHECK(FindPlacement(updated_workers, RequestFor(step)) ==
+        WorkerNames({"w0"}));
 }
 
 TEST_CASE("changes of free resources between searches are taken into account") {
--- a/test/dispatch/task_planner_test.cc
+++ b/test/dispatch/task_planner_test.cc
@@ -36,7 +36,7 @@
     }
   }
 
-  void OpenAll() {
+  void MakeAllSchedulable() {
     for (auto& [name, worker] : fleet.workers()) worker.is_schedulable = true;
   }
 
@@ -90,7 +90,7 @@
   fixture.AddRackGang("gang");
   CHECK(fixture.planner.Decide(fixture.now).starts.empty());
   fixture.now += Duration(10);
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   fixture.Fill("a0");
   fixture.Fill("b0");
   CHECK(fixture.planner.Decide(fixture.now).starts.empty());
@@ -102,7 +102,7 @@
 
 TEST_CASE("the waiting time of a gang includes that under earlier owners") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   fixture.Fill("a0");
   fixture.Fill("b0");
   fixture.AddRackGang("gang", Duration(8'100));
@@ -111,7 +111,7 @@
 
 TEST_CASE("with over half of the accelerators free a gang preempts on a rack") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   auto& small = AddTasks(fixture, "small", 1, 2);
   REQUIRE(fixture.planner.Decide(fixture.now).starts.size() == 1);
   fixture.Fill("b0", 1);
@@ -130,7 +130,7 @@
     "with over half of the accelerators free a gang is spread if no rack "
     "becomes available") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   fixture.Fill("a0", 1);
   fixture.Fill("b0", 1);
   fixture.AddRackGang("gang");
@@ -142,7 +142,7 @@
 
 TEST_CASE("a gang that fits on no rack is spread at once") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   fixture.fleet.Find(base::WorkerName("a0"))->is_schedulable = false;
   fixture.fleet.Find(base::WorkerName("b0"))->is_schedulable = false;
   fixture.AddRackGang("gang");
@@ -151,7 +151,7 @@
 
 TEST_CASE("suspect workers are used last, and never for a last attempt") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   fixture.fleet.Find(base::WorkerName("a0"))->is_suspect = true;
   fixture.fleet.Find(base::WorkerName("a1"))->is_suspect = true;
   AddTasks(fixture, "first", 1, 2);
@@ -173,7 +173,7 @@
 
 TEST_CASE("a failed task with one attempt left avoids suspect workers") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   auto& job = AddTasks(fixture, "job", 1, 2);
   auto& unit = job.runs.front().front().units.front();
   REQUIRE(fixture.planner.Decide(fixture.now).starts.size() == 1);
@@ -190,7 +190,7 @@
 
 TEST_CASE("nothing is preempted on a suspect worker") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   AddTasks(fixture, "quiet", 4, 2);
   REQUIRE(fixture.planner.Decide(fixture.now).starts.size() == 4);
   for (auto& [name, worker] : fixture.fleet.workers()) worker.is_suspect = true;
@@ -204,7 +204,7 @@
 
 TEST_CASE("a unit starts on free workers before its reserved worker is free") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   AddTasks(fixture, "quiet", 4, 3);
   CHECK(fixture.planner.Decide(fixture.now).starts.size() == 4);
   fixture.now += Duration(100);
@@ -230,7 +230,7 @@
 
 TEST_CASE("each preemption reports the work that is lost") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   auto& quiet = fixture.AddRackGang("quiet");
   fixture.AddRackGang("quiet2");
   CHECK(fixture.planner.Decide(fixture.now).starts.size() == 2);
@@ -255,7 +255,7 @@
 
 TEST_CASE("no more tasks start at once than the limit allows") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   fixture.Add("quiet", 2, 2, SmallTasks(20));
   constexpr int kMost = 8;
   const auto first = fixture.planner.Decide(fixture.now, kMost);
@@ -273,7 +273,7 @@
 
 TEST_CASE("a gang starts as a whole even if it exceeds the limit") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   auto step = WholeWorkers(3);
   step.is_gang = true;
   fixture.Add("gang", 0, 2, step);
@@ -287,7 +287,7 @@
 
 TEST_CASE("two units preempt different victims in one round") {
   PlannerFixture fixture;
-  fixture.OpenAll();
+  fixture.MakeAllSchedulable();
   // Each worker is filled by eight small tasks.
   fixture.Add("quiet", 2, 2, SmallTasks(32));
   REQUIRE(fixture.planner.Decide(fixture.now).starts.size() == 32);
