--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -61,7 +61,7 @@
 };
 
 /// Returns the resources that one task of the step is allocated on a worker. A
-/// step that uses only spare CPU is allocated none.
+/// step that uses only spare CPU is allocated no CPU.
 jobs::Resources ResourcesPerTask(const jobs::Step& step);
 
 /// The workers of a service and the resources allocated on each. Has no clock
--- a/src/dispatch/job_tracker.cc
+++ b/src/dispatch/job_tracker.cc
@@ -23,8 +23,8 @@
 
 /// A job's row holds all its units, and each write of a job with many units
 /// costs kilobytes. Changes that no caller waits for are therefore batched. A
-/// start that is not urgent waits for its record; the record of an end only
-/// delays the acknowledgement to its worker.
+/// start that is not urgent waits until it is recorded; an end that is not yet
+/// recorded only delays the next poll of its worker.
 constexpr base::Duration kStartBatchDelay{40};
 constexpr base::Duration kEndBatchDelay{100};
 
--- a/test/dispatch/placer_test.cc
+++ b/test/dispatch/placer_test.cc
@@ -60,7 +60,8 @@
 }
 
 TEST_CASE(
-    "other tasks avoid a worker with a suspect task while others have room") {
+    "other tasks avoid a worker with a suspect task while others are "
+    "available") {
   auto fleet = MakeFleet(2, 2);
   Allocate(fleet, "w0", 7);
   fleet.AddSuspectTasks(base::WorkerName("w0"), 1);
