--- a/src/placement/cell.cc
+++ b/src/placement/cell.cc
@@ -9,19 +9,20 @@
   return (value + by - 1) / by;
 }
 
-/// Accelerators whose share covers `need` of a resource of which the worker
-/// has `total`.
-std::int64_t ShareFor(std::int64_t need, std::int64_t total, int accelerators) {
+/// Number of accelerators whose share covers `need` of a resource of which the
+/// worker has `total`.
+std::int64_t AcceleratorsCovering(std::int64_t need, std::int64_t total,
+                                  int accelerators) {
   if (need <= 0) return 0;
   if (total <= 0) return accelerators + 1;
   return DivideUp(need * accelerators, total);
 }
 
-std::uint64_t LowBits(int count) {
+std::uint64_t LowMask(int count) {
   return count >= 64 ? ~std::uint64_t{0} : (std::uint64_t{1} << count) - 1;
 }
 
-std::uint64_t LowestBits(std::uint64_t bits, int count) {
+std::uint64_t LowestSetBits(std::uint64_t bits, int count) {
   std::uint64_t picked = 0;
   for (int n = 0; n < count && bits != 0; ++n) {
     const auto lowest = bits & (~bits + 1);
@@ -31,7 +32,7 @@
   return picked;
 }
 
-bool SameSize(const WorkerSpec& a, const WorkerSpec& b) {
+bool HaveSameSize(const WorkerSpec& a, const WorkerSpec& b) {
   return a.accelerators == b.accelerators && a.cores == b.cores &&
          a.memory_mb == b.memory_mb;
 }
@@ -40,16 +41,16 @@
 
 int ChargeOn(const WorkerSpec& worker, const TaskNeeds& needs) {
   const auto by_cores =
-      ShareFor(needs.cores, worker.cores, worker.accelerators);
-  const auto by_memory =
-      ShareFor(needs.memory_mb, worker.memory_mb, worker.accelerators);
+      AcceleratorsCovering(needs.cores, worker.cores, worker.accelerators);
+  const auto by_memory = AcceleratorsCovering(needs.memory_mb, worker.memory_mb,
+                                              worker.accelerators);
   const auto charge =
       std::max<std::int64_t>({1, needs.accelerators, by_cores, by_memory});
   return static_cast<int>(
       std::min<std::int64_t>(charge, worker.accelerators + 1));
 }
 
-std::uint64_t PickAccelerators(std::uint64_t taken, int accelerators,
+std::uint64_t PickAccelerators(std::uint64_t allocated_mask, int accelerators,
                                int count) {
   if (count <= 0) return 0;
   const auto size =
@@ -57,15 +58,15 @@
   std::uint64_t best = 0;
   int best_free = 0;
   for (int first = 0; first + size <= accelerators; first += size) {
-    const auto group = LowBits(size) << first;
-    const auto free = group & ~taken;
+    const auto group = LowMask(size) << first;
+    const auto free = group & ~allocated_mask;
     if (std::popcount(free) < count) continue;
     if (best != 0 && std::popcount(free) >= best_free) continue;
-    best = LowestBits(free, count);
+    best = LowestSetBits(free, count);
     best_free = std::popcount(free);
   }
   if (best != 0) return best;
-  return LowestBits(LowBits(accelerators) & ~taken, count);
+  return LowestSetBits(LowMask(accelerators) & ~allocated_mask, count);
 }
 
 WorkerIndex Cell::Put(const WorkerSpec& spec) {
@@ -86,7 +87,7 @@
   }
   specs_[index] = spec;
   worker.rack = rack->second;
-  worker.type = TypeOf(spec);
+  worker.type = FindOrAddType(spec);
   worker.capacity = spec.accelerators;
   worker.present = true;
   return index;
@@ -103,16 +104,16 @@
   return it == by_name_.end() ? kNone : it->second;
 }
 
-std::vector<int> Cell::ChargesOf(const TaskNeeds& needs) const {
+std::vector<int> Cell::ChargesByType(const TaskNeeds& needs) const {
   std::vector<int> charges;
   charges.reserve(types_.size());
   for (const auto& it : types_) charges.push_back(ChargeOn(it, needs));
   return charges;
 }
 
-int Cell::TypeOf(const WorkerSpec& spec) {
+int Cell::FindOrAddType(const WorkerSpec& spec) {
   for (std::size_t i = 0; i < types_.size(); ++i) {
-    if (SameSize(types_[i], spec)) return static_cast<int>(i);
+    if (HaveSameSize(types_[i], spec)) return static_cast<int>(i);
   }
   types_.push_back(spec);
   return static_cast<int>(types_.size()) - 1;
--- a/src/placement/cell_snapshot.cc
+++ b/src/placement/cell_snapshot.cc
@@ -21,7 +21,7 @@
 
   std::string Run() {
     for (const auto& it : snapshot_->gangs) CheckGang(it);
-    CheckRoom();
+    CheckCapacity();
     for (const auto& it : snapshot_->blocks) CheckBlock(it);
     CheckDisjoint();
     CheckOwners();
@@ -40,14 +40,14 @@
     return internal::ChargeOn(it->second->spec, gang.gang.needs);
   }
 
-  static bool Open(const WorkerSnapshot& it) {
+  static bool IsSchedulable(const WorkerSnapshot& it) {
     return it.present && it.health == WorkerHealth::kHealthy;
   }
 
   /// Accelerators that an organisation's guaranteed (not borrowed) work is
   /// charged on a worker.
-  int OwnOn(const base::OrganisationName& organisation,
-            const base::WorkerName& worker) const {
+  int GuaranteedChargeOn(const base::OrganisationName& organisation,
+                         const base::WorkerName& worker) const {
     int own = 0;
     for (const auto& it : snapshot_->gangs) {
       if (it.placement.borrowed || it.gang.organisation != organisation) {
@@ -64,7 +64,7 @@
   void CheckGang(const GangSnapshot& it) {
     const auto& name = it.gang.job.str();
     if (static_cast<int>(it.placement.tasks.size()) != it.gang.tasks) {
-      Fail("gang " + name + " is placed in part");
+      Fail("gang " + name + " is only partly placed");
     }
     std::set<base::WorkerName> on;
     std::set<base::RackName> racks;
@@ -89,7 +89,7 @@
 
   /// Checks that no worker is overfilled, neither now nor once the gangs that
   /// wait for capacity have started.
-  void CheckRoom() {
+  void CheckCapacity() {
     std::map<base::WorkerName, int> now;
     std::map<base::WorkerName, int> later;
     std::map<base::WorkerName, std::uint64_t> masks;
@@ -126,14 +126,16 @@
       on.insert(part.worker);
       const auto worker = workers_.find(part.worker);
       if (worker == workers_.end()) {
-        Fail("a block of " + it.organisation.str() + " is on no known worker");
+        Fail("a block of " + it.organisation.str() +
+             " is on an unknown worker");
         continue;
       }
       racks.insert(worker->second->spec.rack);
-      if (it.intact && !Open(*worker->second) &&
-          OwnOn(it.organisation, part.worker) < part.accelerators) {
+      if (it.intact && !IsSchedulable(*worker->second) &&
+          GuaranteedChargeOn(it.organisation, part.worker) <
+              part.accelerators) {
         Fail("a block of " + it.organisation.str() +
-             " is on a worker that takes nothing new");
+             " is on a worker that accepts no new tasks");
       }
       if (part.accelerators < worker->second->spec.accelerators) {
         ++broken_workers;
--- a/src/placement/gang_queue.cc
+++ b/src/placement/gang_queue.cc
@@ -19,102 +19,108 @@
 }
 
 void GangQueue::Add(const Gang& gang) {
-  auto& line = lines_[KindOf(gang)];
-  if (!line.gangs.insert({gang.submitted, gang.job}).second) return;
+  auto& kind_queue = kind_queues_[KindOf(gang)];
+  if (!kind_queue.gangs.insert({gang.submitted, gang.job}).second) return;
   ++size_;
 }
 
 void GangQueue::Remove(const Gang& gang) {
-  const auto it = lines_.find(KindOf(gang));
-  if (it == lines_.end()) return;
+  const auto it = kind_queues_.find(KindOf(gang));
+  if (it == kind_queues_.end()) return;
   size_ -= it->second.gangs.erase({gang.submitted, gang.job});
-  if (it->second.gangs.empty() && !visiting_) lines_.erase(it);
+  if (it->second.gangs.empty() && !visiting_) kind_queues_.erase(it);
 }
 
-int GangQueue::ClassOf(base::WorkClass work_class, base::TimePoint submitted,
-                       base::TimePoint now) const {
+int GangQueue::AgedClassOf(base::WorkClass work_class,
+                           base::TimePoint submitted,
+                           base::TimePoint now) const {
   const auto aged = (now - submitted) / std::max(ageing_, base::Duration(1));
   const auto own = static_cast<std::int64_t>(work_class);
   return static_cast<int>(std::max<std::int64_t>(0, own - aged));
 }
 
-GangQueue::Turn GangQueue::TurnOf(const GangKind& kind, const Waiting& waiting,
-                                  base::TimePoint now,
-                                  const ShareOf& share) const {
-  return {.work_class = ClassOf(kind.work_class, waiting.submitted, now),
-          .share = share(kind.organisation),
-          .oldest = waiting,
-          .kind = &kind};
+GangQueue::SortKey GangQueue::SortKeyOf(const GangKind& kind,
+                                        const QueuedGang& queued_gang,
+                                        base::TimePoint now,
+                                        const ShareOf& share) const {
+  return {
+      .work_class = AgedClassOf(kind.work_class, queued_gang.submitted, now),
+      .share = share(kind.organisation),
+      .oldest = queued_gang,
+      .kind = &kind};
 }
 
-GangQueue::Turn GangQueue::TurnOf(const GangKind& kind, Line& line,
-                                  base::TimePoint now,
-                                  const ShareOf& share) const {
-  auto turn = TurnOf(kind, *line.gangs.begin(), now, share);
-  turn.line = &line;
-  return turn;
+GangQueue::SortKey GangQueue::SortKeyOf(const GangKind& kind,
+                                        KindQueue& kind_queue,
+                                        base::TimePoint now,
+                                        const ShareOf& share) const {
+  auto key = SortKeyOf(kind, *kind_queue.gangs.begin(), now, share);
+  key.kind_queue = &kind_queue;
+  return key;
 }
 
 void GangQueue::Visit(base::TimePoint now, Generation generation,
                       const ShareOf& share, const Visitor& visit) {
-  std::set<Turn> turns;
-  for (auto& [kind, line] : lines_) {
-    if (line.failed == generation) continue;
-    turns.insert(TurnOf(kind, line, now, share));
+  std::set<SortKey> keys;
+  for (auto& [kind, kind_queue] : kind_queues_) {
+    if (kind_queue.failed_generation == generation) continue;
+    keys.insert(SortKeyOf(kind, kind_queue, now, share));
   }
   std::vector<const GangKind*> emptied;
   visiting_ = true;
-  while (!turns.empty()) {
-    auto turn = std::move(turns.extract(turns.begin()).value());
-    const double present_share = share(turn.kind->organisation);
-    if (present_share != turn.share) {
-      turn.share = present_share;
-      turns.insert(std::move(turn));
+  while (!keys.empty()) {
+    auto key = std::move(keys.extract(keys.begin()).value());
+    const double current_share = share(key.kind->organisation);
+    if (current_share != key.share) {
+      key.share = current_share;
+      keys.insert(std::move(key));
       continue;
     }
-    if (!visit(turn.oldest.job)) {
-      turn.line->failed = generation;
-    } else if (turn.line->gangs.empty()) {
-      emptied.push_back(turn.kind);
+    if (!visit(key.oldest.job)) {
+      key.kind_queue->failed_generation = generation;
+    } else if (key.kind_queue->gangs.empty()) {
+      emptied.push_back(key.kind);
     } else {
-      turns.insert(TurnOf(*turn.kind, *turn.line, now, share));
+      keys.insert(SortKeyOf(*key.kind, *key.kind_queue, now, share));
     }
   }
   visiting_ = false;
   for (const auto* it : emptied) {
-    const auto line = lines_.find(*it);
-    // A gang of the kind may have come back meanwhile.
-    if (line->second.gangs.empty()) lines_.erase(line);
+    const auto kind_queue = kind_queues_.find(*it);
+    // A gang of the kind may have been added during the visits.
+    if (kind_queue->second.gangs.empty()) kind_queues_.erase(kind_queue);
   }
 }
 
 int GangQueue::PositionOf(const Gang& gang, base::TimePoint now,
                           const ShareOf& share) const {
   const auto kind = KindOf(gang);
-  const Waiting waiting{gang.submitted, gang.job};
-  const auto own = TurnOf(kind, waiting, now, share);
+  const QueuedGang queued_gang{gang.submitted, gang.job};
+  const auto own = SortKeyOf(kind, queued_gang, now, share);
   int before = 0;
-  for (const auto& [other, line] : lines_) {
-    for (const auto& it : line.gangs) {
-      if (TurnOf(other, it, now, share) < own) ++before;
+  for (const auto& [other, kind_queue] : kind_queues_) {
+    for (const auto& it : kind_queue.gangs) {
+      if (SortKeyOf(other, it, now, share) < own) ++before;
     }
   }
-  const auto it = lines_.find(kind);
-  if (it == lines_.end() || !it->second.gangs.contains(waiting)) return 0;
+  const auto it = kind_queues_.find(kind);
+  if (it == kind_queues_.end() || !it->second.gangs.contains(queued_gang)) {
+    return 0;
+  }
   return before + 1;
 }
 
-std::vector<base::JobName> GangQueue::Heads() const {
+std::vector<base::JobName> GangQueue::OldestOfEachKind() const {
   std::vector<base::JobName> heads;
-  for (const auto& it : lines_) {
+  for (const auto& it : kind_queues_) {
     heads.push_back(it.second.gangs.begin()->job);
   }
   return heads;
 }
 
-std::vector<Waiting> GangQueue::All() const {
-  std::vector<Waiting> all;
-  for (const auto& it : lines_) {
+std::vector<QueuedGang> GangQueue::All() const {
+  std::vector<QueuedGang> all;
+  for (const auto& it : kind_queues_) {
     all.insert(all.end(), it.second.gangs.begin(), it.second.gangs.end());
   }
   return all;
--- a/src/placement/guarantee_packing.cc
+++ b/src/placement/guarantee_packing.cc
@@ -9,13 +9,15 @@
 namespace lapishatch::placement::internal {
 namespace {
 
-/// Orders shapes so that greedy packing does best: the hardest to place first.
-/// Exact when sizes divide each other: an item of the largest size left takes
-/// the same number of slots of every smaller size wherever it goes.
-bool HarderThan(const Shape& a, const Shape& b, int worker_size) {
+/// Orders shapes for greedy packing, the hardest to place first. Greedy packing
+/// is exact when sizes divide each other, because a shape of the largest
+/// remaining size then takes the same number of slots of every smaller size
+/// wherever it is placed.
+bool IsHarderToPlace(const Shape& a, const Shape& b, int worker_size) {
   const auto rank = [&](const Shape& it) {
-    // What needs more than one worker needs whole ones, so it goes before what
-    // could break them up; in one rack before anywhere.
+    // Shapes larger than one worker need whole workers, so they are placed
+    // before smaller shapes, which could split workers; shapes for one rack
+    // come before those for any rack.
     const bool several = it.accelerators > worker_size;
     return std::tuple(!several, several && it.adjacency == Adjacency::kDomain,
                       -it.accelerators);
@@ -25,26 +27,26 @@
 
 }  // namespace
 
-bool GuaranteeBook::PlaceAll(std::vector<BlockIndex> todo) {
+bool GuaranteeBook::PlaceAll(std::vector<BlockIndex> to_place) {
   const int worker_size = cell_->largest();
-  std::stable_sort(todo.begin(), todo.end(), [&](auto a, auto b) {
-    return HarderThan(blocks_[a].shape, blocks_[b].shape, worker_size);
+  std::stable_sort(to_place.begin(), to_place.end(), [&](auto a, auto b) {
+    return IsHarderToPlace(blocks_[a].shape, blocks_[b].shape, worker_size);
   });
   bool all = true;
-  for (const auto index : todo) {
-    auto pieces = FindSlack(blocks_[index].shape);
-    if (pieces.empty()) {
+  for (const auto index : to_place) {
+    auto parts = FindSlack(blocks_[index].shape);
+    if (parts.empty()) {
       all = false;
       continue;
     }
-    Put(index, std::move(pieces));
+    PlaceBlock(index, std::move(parts));
   }
   return all;
 }
 
-std::vector<Piece> GuaranteeBook::FindSlack(const Shape& shape) const {
-  // On one worker is as close together as can be, whatever is asked for. The
-  // best fit: the least slack that is enough.
+std::vector<WorkerPart> GuaranteeBook::FindSlack(const Shape& shape) const {
+  // One worker satisfies every adjacency. The best fit is the worker with the
+  // least sufficient slack.
   WorkerIndex best = kNone;
   int best_slack = 0;
   for (WorkerIndex it = 0; it < cell_->size(); ++it) {
@@ -69,15 +71,15 @@
         const auto& here = cell_->InRack(rack);
         all.insert(all.end(), here.begin(), here.end());
       }
-      return Fill(all, shape.accelerators);
+      return FillWorkers(all, shape.accelerators);
     }
   }
   return {};
 }
 
-std::vector<Piece> GuaranteeBook::FindInRacks(const Shape& shape) const {
-  // The rack with the fewest whole workers that is enough.
-  std::vector<Piece> best;
+std::vector<WorkerPart> GuaranteeBook::FindInRacks(const Shape& shape) const {
+  // Picks the rack with the smallest sufficient capacity of whole workers.
+  std::vector<WorkerPart> best;
   int best_whole = 0;
   for (RackIndex rack = 0; rack < cell_->racks(); ++rack) {
     int whole = 0;
@@ -86,77 +88,77 @@
       if (worker.slack() == worker.capacity) whole += worker.capacity;
     }
     if (!best.empty() && whole >= best_whole) continue;
-    auto pieces = Fill(cell_->InRack(rack), shape.accelerators);
-    if (pieces.empty()) continue;
-    best = std::move(pieces);
+    auto parts = FillWorkers(cell_->InRack(rack), shape.accelerators);
+    if (parts.empty()) continue;
+    best = std::move(parts);
     best_whole = whole;
   }
   return best;
 }
 
-std::vector<Piece> GuaranteeBook::Fill(
+std::vector<WorkerPart> GuaranteeBook::FillWorkers(
     const std::vector<WorkerIndex>& candidates, int accelerators) const {
   std::vector<WorkerIndex> whole;
   for (const auto it : candidates) {
     const auto& worker = cell_->at(it);
-    if (worker.open() && worker.slack() == worker.capacity) {
+    if (worker.schedulable() && worker.slack() == worker.capacity) {
       whole.push_back(it);
     }
   }
   std::stable_sort(whole.begin(), whole.end(), [&](auto a, auto b) {
     return cell_->at(a).capacity > cell_->at(b).capacity;
   });
-  std::vector<Piece> pieces;
+  std::vector<WorkerPart> parts;
   int left = accelerators;
   for (const auto it : whole) {
     const int size = cell_->at(it).capacity;
     if (size == 0 || size > left) continue;
-    pieces.push_back({.worker = it, .count = size});
+    parts.push_back({.worker = it, .count = size});
     left -= size;
   }
-  if (left == 0) return pieces;
-  // The rest goes to one worker, the one that it fills best.
-  const auto one = FindOne(candidates, left, pieces);
+  if (left == 0) return parts;
+  // The rest goes to the one worker that it fits best.
+  const auto one = FindBestFit(candidates, left, parts);
   if (one == kNone) return {};
-  pieces.push_back({.worker = one, .count = left});
-  return pieces;
+  parts.push_back({.worker = one, .count = left});
+  return parts;
 }
 
-WorkerIndex GuaranteeBook::FindOne(const std::vector<WorkerIndex>& among,
-                                   int count,
-                                   const std::vector<Piece>& except) const {
+WorkerIndex GuaranteeBook::FindBestFit(
+    const std::vector<WorkerIndex>& candidates, int count,
+    const std::vector<WorkerPart>& excluded) const {
   WorkerIndex best = kNone;
   int best_slack = 0;
-  for (const auto it : among) {
+  for (const auto it : candidates) {
     const int slack = cell_->at(it).slack();
     if (slack < count || (best != kNone && slack >= best_slack)) continue;
-    const bool excepted =
-        std::any_of(except.begin(), except.end(),
-                    [&](const Piece& piece) { return piece.worker == it; });
-    if (excepted) continue;
+    const bool is_excluded =
+        std::any_of(excluded.begin(), excluded.end(),
+                    [&](const WorkerPart& part) { return part.worker == it; });
+    if (is_excluded) continue;
     best = it;
     best_slack = slack;
   }
   return best;
 }
 
-std::vector<Piece> GuaranteeBook::Cover(const Shape& shape,
-                                        const Place& place) const {
-  std::vector<Piece> pieces;
+std::vector<WorkerPart> GuaranteeBook::FindCovering(const Shape& shape,
+                                                    const Place& place) const {
+  std::vector<WorkerPart> parts;
   int left = shape.accelerators;
   bool broken = false;
   const auto add = [&](WorkerIndex index, int at_least) {
     const auto& worker = cell_->at(index);
     const int count = std::min(worker.capacity, left);
     if (count < at_least || worker.unpinned() < count) return false;
-    // At most one piece is less than a whole worker.
+    // At most one part is less than a whole worker.
     if (count < worker.capacity && std::exchange(broken, true)) return false;
-    pieces.push_back({.worker = index, .count = count});
+    parts.push_back({.worker = index, .count = count});
     left -= count;
     return true;
   };
   if (shape.adjacency == Adjacency::kWorker && place.size() > 1) return {};
-  // Fullest first, so that the broken piece is the one that needs least.
+  // Largest first, so that the part that splits a worker is the smallest.
   auto slots = place;
   std::stable_sort(slots.begin(), slots.end(),
                    [](auto& a, auto& b) { return a.total() > b.total(); });
@@ -166,9 +168,9 @@
         cell_->at(it.worker).rack != cell_->at(slots.front().worker).rack;
     if (far || !add(it.worker, it.total())) return {};
   }
-  if (left == 0) return pieces;
+  if (left == 0) return parts;
   if (shape.adjacency == Adjacency::kWorker || place.empty()) return {};
-  // More whole workers, free of other blocks where there are such.
+  // Adds whole workers, preferably those without other blocks.
   std::vector<WorkerIndex> more;
   const auto rack = cell_->at(place.front().worker).rack;
   const bool one_rack = shape.adjacency == Adjacency::kRack;
@@ -176,8 +178,8 @@
     if (one_rack && it != rack) continue;
     for (const auto index : cell_->InRack(it)) {
       const bool taken =
-          std::any_of(pieces.begin(), pieces.end(),
-                      [&](auto& piece) { return piece.worker == index; });
+          std::any_of(parts.begin(), parts.end(),
+                      [&](auto& part) { return part.worker == index; });
       if (!taken && cell_->at(index).unpinned() > 0) more.push_back(index);
     }
   }
@@ -195,16 +197,16 @@
   }
   for (const auto it : more) {
     if (left == 0) break;
-    const bool taken =
-        std::any_of(pieces.begin(), pieces.end(),
-                    [&](auto& piece) { return piece.worker == it; });
+    const bool taken = std::any_of(parts.begin(), parts.end(), [&](auto& part) {
+      return part.worker == it;
+    });
     if (!taken && cell_->at(it).unpinned() >= left &&
         cell_->at(it).capacity >= left) {
       add(it, 0);
     }
   }
   if (left > 0) return {};
-  return pieces;
+  return parts;
 }
 
 }  // namespace lapishatch::placement::internal
--- a/src/placement/internal/cell.h
+++ b/src/placement/internal/cell.h
@@ -11,20 +11,20 @@
 
 namespace lapishatch::placement::internal {
 
-/// Index of a worker in its cell; stays the same as long as the planner lives.
+/// Index of a worker in its cell; it never changes while the planner exists.
 using WorkerIndex = int;
 using RackIndex = int;
 
 inline constexpr int kNone = -1;
 
-/// Allocation of one worker, all in accelerators (each stands for its share of
-/// the worker's cores and memory). Kept small: most decisions read all workers
-/// of the cell once.
+/// Allocation of one worker, counted in accelerators; each stands for its share
+/// of the worker's cores and memory. The struct is small because most decisions
+/// read all workers of the cell once.
 struct WorkerState {
   RackIndex rack = kNone;
   int type = kNone;
   int capacity = 0;
-  /// Charged by gangs that hold places here.
+  /// Charged by the gangs placed here.
   int used = 0;
   /// The part of `used` whose gangs are being evicted.
   int evicting = 0;
@@ -36,26 +36,30 @@
   int reserved = 0;
   WorkerHealth health = WorkerHealth::kHealthy;
   bool present = false;
-  /// Reserved for a starving gang.
-  bool held = false;
-  /// Bit i: accelerator i is given to a task.
-  std::uint64_t taken = 0;
+  /// The worker is part of a starving gang's reservation.
+  bool in_reservation = false;
+  /// Bit i is set when accelerator i is allocated to a task.
+  std::uint64_t allocated_mask = 0;
 
-  bool open() const { return present && health == WorkerHealth::kHealthy; }
+  bool schedulable() const {
+    return present && health == WorkerHealth::kHealthy;
+  }
 
   /// Free accelerators once all pending evictions and starts are done.
-  int left() const { return capacity - used + evicting - claimed; }
+  int free_after_pending() const {
+    return capacity - used + evicting - claimed;
+  }
 
   /// Accelerators that a new gang can get now without an eviction. Excludes
   /// free accelerators that are claimed, even when pending evictions will
   /// replace them: otherwise the claim would wait for evictions that were
   /// ordered later.
   int available() const {
-    return open() ? std::max(0, capacity - used - claimed) : 0;
+    return schedulable() ? std::max(0, capacity - used - claimed) : 0;
   }
 
   /// Accelerators outside guaranteed blocks that are in use.
-  int unpinned() const { return open() ? capacity - pinned : 0; }
+  int unpinned() const { return schedulable() ? capacity - pinned : 0; }
 
   /// Accelerators outside all guaranteed blocks.
   int slack() const { return unpinned() - reserved; }
@@ -64,12 +68,13 @@
 /// The workers of one cell by index, name and rack.
 class Cell {
  public:
-  /// Adds a worker, or one that was there before.
+  /// Adds a worker, or updates one that was added before, and returns its
+  /// index.
   WorkerIndex Put(const WorkerSpec& spec);
 
   void Remove(WorkerIndex worker) { workers_[worker].present = false; }
 
-  /// Index of a worker, kNone when its name was never seen.
+  /// Index of a worker, kNone when no worker of this name was ever added.
   WorkerIndex Find(const base::WorkerName& name) const;
 
   WorkerState& at(WorkerIndex worker) { return workers_[worker]; }
@@ -79,25 +84,25 @@
   int size() const { return static_cast<int>(workers_.size()); }
   int racks() const { return static_cast<int>(rack_workers_.size()); }
 
-  /// Size of the largest worker ever seen, 0 without workers.
+  /// Accelerators of the largest worker ever added, 0 without workers.
   int largest() const;
 
-  /// The workers ever seen in a rack, in order of index.
+  /// The workers of a rack, including removed ones, in order of index.
   const std::vector<WorkerIndex>& InRack(RackIndex rack) const {
     return rack_workers_[rack];
   }
 
   const std::vector<WorkerState>& workers() const { return workers_; }
 
-  /// Distinct sizes of workers; few in practice.
+  /// Distinct worker sizes; few in practice.
   const std::vector<WorkerSpec>& types() const { return types_; }
 
-  /// Accelerators that one task is charged on each type of worker, by type.
-  /// Above the worker's size when the task does not fit.
-  std::vector<int> ChargesOf(const TaskNeeds& needs) const;
+  /// Accelerators charged for one task on a worker of each type, by type. The
+  /// charge exceeds the worker's size when the task does not fit.
+  std::vector<int> ChargesByType(const TaskNeeds& needs) const;
 
  private:
-  int TypeOf(const WorkerSpec& spec);
+  int FindOrAddType(const WorkerSpec& spec);
 
   std::vector<WorkerState> workers_;
   std::vector<WorkerSpec> specs_;
@@ -107,14 +112,15 @@
   std::vector<WorkerSpec> types_;
 };
 
-/// Accelerators that a task is charged on such a worker: enough that its share
-/// of cores and memory covers what it needs, at least one.
+/// Accelerators charged for a task on such a worker: at least one, and enough
+/// that their share of cores and memory covers the task's needs.
 int ChargeOn(const WorkerSpec& worker, const TaskNeeds& needs);
 
-/// Picks `count` of a worker's accelerators that are not `taken`: from the
-/// fullest aligned group of the next power of two that has room, so that tasks
-/// keep to one half of a worker where they can, else the lowest free ones.
-std::uint64_t PickAccelerators(std::uint64_t taken, int accelerators,
+/// Picks `count` accelerators of a worker that are not in `allocated_mask`:
+/// from the fullest aligned group of the next power of two with enough free
+/// ones, so that tasks stay within one half of a worker where possible,
+/// otherwise the lowest free ones.
+std::uint64_t PickAccelerators(std::uint64_t allocated_mask, int accelerators,
                                int count);
 
 }  // namespace lapishatch::placement::internal
--- a/src/placement/internal/gang_queue.h
+++ b/src/placement/internal/gang_queue.h
@@ -30,25 +30,25 @@
 
 GangKind KindOf(const Gang& gang);
 
-/// A waiting gang; ordered by submission time.
-struct Waiting {
+/// A queued gang; ordered by submission time.
+struct QueuedGang {
   base::TimePoint submitted;
   base::JobName job;
 
-  friend auto operator<=>(const Waiting&, const Waiting&) = default;
+  friend auto operator<=>(const QueuedGang&, const QueuedGang&) = default;
 };
 
 /// Counter that is incremented by each event after which a gang that could not
-/// start may be able to.
+/// start may be able to start.
 using Generation = std::uint64_t;
 
-/// The gangs that wait, by kind and age.
+/// Queued gangs by kind and age.
 class GangQueue {
  public:
   using ShareOf = std::function<double(const base::OrganisationName&)>;
   using Visitor = std::function<bool(const base::JobName&)>;
 
-  /// After this much waiting a gang counts as of the next better class.
+  /// A gang is promoted by one class each time it has waited for `ageing`.
   explicit GangQueue(base::Duration ageing) : ageing_(ageing) {}
 
   void Add(const Gang& gang);
@@ -56,57 +56,59 @@
   std::size_t size() const { return size_; }
 
   /// Calls `visit` with the oldest gang of each kind, in order of class, share
-  /// of the organisation (asked again as it changes) and age. A visit that
-  /// returns true has taken the gang off the queue, and the next one of its
-  /// kind follows; false passes over the kind until the generation changes.
+  /// of the organisation (evaluated again before each call) and age. When
+  /// `visit` returns true, it has removed the gang from the queue, and the next
+  /// gang of the kind is visited; when it returns false, the kind is skipped
+  /// until the generation changes.
   void Visit(base::TimePoint now, Generation generation, const ShareOf& share,
              const Visitor& visit);
 
-  /// Place of a gang in the queue, from 1; the gangs of one kind count as one
-  /// behind the other. 0 when it does not wait.
+  /// Position of a gang in the queue, from 1, counting every gang of each kind.
+  /// 0 when it is not queued.
   int PositionOf(const Gang& gang, base::TimePoint now,
                  const ShareOf& share) const;
 
   /// The oldest gang of each kind.
-  std::vector<base::JobName> Heads() const;
+  std::vector<base::JobName> OldestOfEachKind() const;
 
-  /// All waiting gangs, by kind and age.
-  std::vector<Waiting> All() const;
+  /// All queued gangs, by kind and age.
+  std::vector<QueuedGang> All() const;
 
  private:
-  struct Line {
-    std::set<Waiting> gangs;
-    /// When a gang of this kind last could not start.
-    Generation failed = 0;
+  /// Queued gangs of one kind.
+  struct KindQueue {
+    std::set<QueuedGang> gangs;
+    /// Generation in which a gang of this kind last failed to start.
+    Generation failed_generation = 0;
   };
 
   /// Sort key of a kind; the lowest is visited first.
-  struct Turn {
+  struct SortKey {
     int work_class = 0;
     double share = 0;
-    Waiting oldest;
-    /// Stays as long as a gang of the kind waits.
+    QueuedGang oldest;
+    /// Valid as long as a gang of the kind is queued.
     const GangKind* kind = nullptr;
-    Line* line = nullptr;
+    KindQueue* kind_queue = nullptr;
 
-    friend bool operator<(const Turn& a, const Turn& b) {
+    friend bool operator<(const SortKey& a, const SortKey& b) {
       return std::tie(a.work_class, a.share, a.oldest) <
              std::tie(b.work_class, b.share, b.oldest);
     }
   };
 
-  Turn TurnOf(const GangKind& kind, const Waiting& waiting, base::TimePoint now,
-              const ShareOf& share) const;
-  /// The same of the oldest gang of a kind.
-  Turn TurnOf(const GangKind& kind, Line& line, base::TimePoint now,
-              const ShareOf& share) const;
-  /// The class in which a gang waits, aged: 0 is urgent.
-  int ClassOf(base::WorkClass work_class, base::TimePoint submitted,
-              base::TimePoint now) const;
+  SortKey SortKeyOf(const GangKind& kind, const QueuedGang& queued_gang,
+                    base::TimePoint now, const ShareOf& share) const;
+  /// Sort key of the oldest gang of a kind.
+  SortKey SortKeyOf(const GangKind& kind, KindQueue& kind_queue,
+                    base::TimePoint now, const ShareOf& share) const;
+  /// Work class of a gang after promotion by age; 0 is urgent.
+  int AgedClassOf(base::WorkClass work_class, base::TimePoint submitted,
+                  base::TimePoint now) const;
 
   base::Duration ageing_;
   std::size_t size_ = 0;
-  std::map<GangKind, Line> lines_;
+  std::map<GangKind, KindQueue> kind_queues_;
   /// While set, kinds are kept even when their last gang is removed.
   bool visiting_ = false;
 };
--- a/src/placement/internal/gang_state.h
+++ b/src/placement/internal/gang_state.h
@@ -17,7 +17,7 @@
   /// Has claimed a place and waits until the gangs evicted for it have ended.
   kAwaitingCapacity,
   kRunning,
-  /// Told to stop; holds its place until ReportEnded.
+  /// Ordered to stop; keeps its place until ReportEnded.
   kEvicting,
 };
 
@@ -29,15 +29,15 @@
   /// Empty while queued.
   Place place;
   /// The accelerators of each task, in order of `place`; empty until it starts.
-  std::vector<std::uint64_t> masks;
-  /// The room it takes in its organisation's guaranteed blocks; empty while
+  std::vector<std::uint64_t> accelerator_masks;
+  /// Its allocation in its organisation's guaranteed blocks; empty while
   /// borrowed.
-  std::vector<BlockUse> uses;
-  /// When it came into the queue this time.
+  std::vector<BlockUse> block_uses;
+  /// Time at which it last entered the queue.
   base::TimePoint queued;
   base::TimePoint started;
-  /// Its last complete checkpoint; `started` when it has none.
-  base::TimePoint saved;
+  /// Time of its last complete checkpoint; `started` when it has none.
+  base::TimePoint last_checkpoint;
   /// Runs on capacity that is reserved for a starving gang.
   bool backfill = false;
   /// How often it was evicted before.
@@ -45,11 +45,11 @@
   /// Estimated memory use of its tasks on each worker of `place`, derived from
   /// per-worker reports, and the number of reports used.
   std::vector<double> memory_mb = {};
-  int reports = 0;
-  /// Why it is evicted.
-  std::string reason;
+  int usage_reports = 0;
+  /// Reason for its eviction.
+  std::string eviction_reason;
 
-  bool borrowed() const { return uses.empty(); }
+  bool borrowed() const { return block_uses.empty(); }
 
   int charge() const {
     int sum = 0;
@@ -65,14 +65,15 @@
   }
 };
 
-/// Whether stopping the gang loses nothing for good.
-inline bool Evictable(const Gang& gang) {
+/// Whether the gang can be evicted: its work can be continued or repeated, or
+/// may be lost.
+inline bool IsEvictable(const Gang& gang) {
   return gang.checkpointable || gang.idempotent || gang.may_be_lost;
 }
 
 /// Whether the gang may run on capacity that is guaranteed to others.
 inline bool MayBorrow(const Gang& gang) {
-  return gang.allow_borrowing && Evictable(gang);
+  return gang.allow_borrowing && IsEvictable(gang);
 }
 
 }  // namespace lapishatch::placement::internal
--- a/src/placement/internal/guarantee_book.h
+++ b/src/placement/internal/guarantee_book.h
@@ -14,13 +14,13 @@
 using BlockIndex = int;
 
 /// The part of a block that lies on one worker.
-struct Piece {
+struct WorkerPart {
   WorkerIndex worker = kNone;
   int count = 0;
   /// Charged by gangs that run in the block.
   int in_use = 0;
 
-  friend bool operator==(const Piece&, const Piece&) = default;
+  friend bool operator==(const WorkerPart&, const WorkerPart&) = default;
 };
 
 /// The capacity assigned to one guaranteed shape. The set of blocks proves the
@@ -29,19 +29,19 @@
 struct Block {
   base::OrganisationName organisation;
   Shape shape;
-  /// Empty when the hardware is short.
-  std::vector<Piece> pieces = {};
-  /// Gangs that run in it.
-  int gangs = 0;
+  /// Empty when the hardware is too small for it.
+  std::vector<WorkerPart> parts = {};
+  /// Gangs that run in it or wait for evictions in it.
+  int gang_count = 0;
   /// No longer guaranteed: removed when its last gang ends.
   bool retiring = false;
-  /// Retiring, and no longer of its shape: never guaranteed again.
+  /// Retiring and never guaranteed again: it may no longer have its shape.
   bool superseded = false;
   /// The entry is unused and can be reused.
   bool vacant = false;
 
-  bool placed() const { return !pieces.empty(); }
-  bool in_use() const { return gangs > 0; }
+  bool placed() const { return !parts.empty(); }
+  bool in_use() const { return gang_count > 0; }
 };
 
 /// Charge of a gang on one worker within one block.
@@ -55,23 +55,23 @@
 /// of the cell's largest type.
 bool ShapeHolds(const Cell& cell, const Shape& shape, const Gang& gang);
 
-/// All guaranteed blocks of a cell. Blocks in use keep the pieces that gangs
+/// All guaranteed blocks of a cell. Blocks in use keep the parts that gangs
 /// use; unused blocks can be moved freely, since only borrowed work runs in
 /// them. Copies refer to the same cell until Rebind.
 class GuaranteeBook {
  public:
   explicit GuaranteeBook(Cell& cell) : cell_(&cell) {}
 
-  /// Lets a copy work on a copy of the cell.
+  /// Makes a copy of the book refer to a copy of the cell.
   void Rebind(Cell& cell) { cell_ = &cell; }
 
   /// Replaces the guarantees. Blocks in use are kept as far as the new
-  /// guarantees have room for them, the others become retiring ones.
-  void Set(const std::vector<Guarantee>& guarantees);
+  /// guarantees include them; the others become retiring.
+  void SetGuarantees(const std::vector<Guarantee>& guarantees);
 
-  /// Reports that workers were added, removed or changed health, so that blocks
+  /// Marks that workers were added, removed or changed health, so that blocks
   /// may have lost their places.
-  void WorkersChanged() { workers_changed_ = true; }
+  void MarkWorkersChanged() { workers_changed_ = true; }
 
   /// Places the unused blocks that have no place, or whose place was lost,
   /// moving other unused ones if need be.
@@ -81,84 +81,91 @@
   /// even after moving that part within the block's adjacency.
   std::vector<BlockIndex> BrokenBlocks();
 
-  /// Allocates room for a gang; the room must be available.
-  void Use(const std::vector<BlockUse>& uses);
+  /// Allocates capacity in blocks to a gang; it must be available.
+  void Allocate(const std::vector<BlockUse>& uses);
 
-  /// Frees the room that Use allocated.
+  /// Frees the capacity that Allocate allocated.
   void Release(const std::vector<BlockUse>& uses);
 
-  /// Moves an unused block so that it covers `place`, and others that are in
-  /// its way elsewhere. Changes nothing and returns false when that can't be
-  /// done.
+  /// Moves an unused block so that it covers `place`, and moves conflicting
+  /// unused blocks elsewhere. Changes nothing and returns false when that is
+  /// impossible.
   bool MoveOnto(BlockIndex block, const Place& place);
 
   /// Moves free parts of a block in use so that it covers `place` too. May
   /// leave other unused blocks without a place until Repair. Changes nothing
-  /// and returns false when that can't be done.
+  /// and returns false when that is impossible.
   bool ExtendOnto(BlockIndex block, const Place& place);
 
-  /// Adds a block in use beyond all guarantees, for work that runs there and
-  /// can't be evicted. Unused blocks in the way lose their place until Repair.
+  /// Adds a retiring block, which belongs to no guarantee, for work that runs
+  /// there and can't be evicted. Conflicting unused blocks lose their place
+  /// until Repair.
   BlockIndex AddRetiring(const base::OrganisationName& organisation,
                          const Place& place);
 
-  /// Shrinks a block in use to what its gangs use, and adds a new block of the
-  /// same shape for its organisation, which has no place until Repair.
-  void Reissue(BlockIndex block);
+  /// Retires a block in use, shrinks it to what its gangs use, and adds a new
+  /// block of the same shape for its organisation, which has no place until
+  /// Repair.
+  void RetireAndReplace(BlockIndex block);
 
-  /// Blocks in use that guarantee more of a worker than it has once `place` is
-  /// taken too.
-  std::vector<BlockIndex> ConflictsWith(const Place& place) const;
+  /// Blocks in use on workers that are too small for both these blocks and
+  /// `place`.
+  std::vector<BlockIndex> ConflictingBlocksInUse(const Place& place) const;
 
   const std::vector<Block>& blocks() const { return blocks_; }
 
-  /// The live blocks of one organisation, in order of size.
-  const std::vector<BlockIndex>& Of(
+  /// The blocks of one organisation, in order of size.
+  const std::vector<BlockIndex>& BlocksOf(
       const base::OrganisationName& organisation) const;
 
-  /// Whether a block can serve its owner whole: each piece is on an open worker
-  /// or in use entirely.
-  bool Intact(const Block& block) const;
+  /// Whether the owner can use the whole block: each part is on a schedulable
+  /// worker or entirely in use.
+  bool IsIntact(const Block& block) const;
 
   /// Guarantees that can't be honoured on the healthy workers.
   std::vector<Shortfall> Shortfalls() const;
 
   /// The largest guaranteed shape, 0 accelerators when there is none.
-  Shape largest() const;
+  Shape largest_shape() const;
 
  private:
-  std::vector<Piece> FindSlack(const Shape& shape) const;
-  std::vector<Piece> FindInRacks(const Shape& shape) const;
-  /// Fills whole workers among `candidates`, and a part of one more.
-  std::vector<Piece> Fill(const std::vector<WorkerIndex>& candidates,
-                          int accelerators) const;
-  WorkerIndex FindOne(const std::vector<WorkerIndex>& among, int count,
-                      const std::vector<Piece>& except) const;
-  /// The pieces of a block of `shape` that covers `place`; empty if there are
-  /// none. Only blocks in use are in the way.
-  std::vector<Piece> Cover(const Shape& shape, const Place& place) const;
-  bool Fits(const std::vector<Piece>& pieces) const;
-  void Put(BlockIndex block, std::vector<Piece> pieces);
-  void Unplace(BlockIndex block);
-  /// Unused blocks that must leave so that `pieces` fit.
-  std::vector<BlockIndex> InTheWay(const std::vector<Piece>& pieces) const;
-  std::vector<BlockIndex> Unused() const;
+  std::vector<WorkerPart> FindSlack(const Shape& shape) const;
+  std::vector<WorkerPart> FindInRacks(const Shape& shape) const;
+  /// Returns whole workers among `candidates` and a part of one more; empty if
+  /// they do not suffice.
+  std::vector<WorkerPart> FillWorkers(
+      const std::vector<WorkerIndex>& candidates, int accelerators) const;
+  WorkerIndex FindBestFit(const std::vector<WorkerIndex>& candidates, int count,
+                          const std::vector<WorkerPart>& excluded) const;
+  /// Returns the parts of a block of `shape` that covers `place`; empty if no
+  /// such block fits beside the blocks in use.
+  std::vector<WorkerPart> FindCovering(const Shape& shape,
+                                       const Place& place) const;
+  bool Fits(const std::vector<WorkerPart>& parts) const;
+  void PlaceBlock(BlockIndex block, std::vector<WorkerPart> parts);
+  void UnplaceBlock(BlockIndex block);
+  /// Unused blocks that must be moved so that `parts` fit.
+  std::vector<BlockIndex> ConflictingUnusedBlocks(
+      const std::vector<WorkerPart>& parts) const;
+  std::vector<BlockIndex> UnusedBlocks() const;
   /// Places as many blocks as possible, the hardest first. Returns whether all
   /// were placed.
-  bool PlaceAll(std::vector<BlockIndex> todo);
+  bool PlaceAll(std::vector<BlockIndex> to_place);
   bool MoveFreeParts(BlockIndex block);
-  BlockIndex NewBlock(Block block);
-  void Drop(BlockIndex block);
+  BlockIndex AddBlock(Block block);
+  void RemoveBlock(BlockIndex block);
 
   Cell* cell_;
   std::vector<Block> blocks_;
-  std::vector<BlockIndex> free_;
-  std::unordered_map<base::OrganisationName, std::vector<BlockIndex>> of_;
-  /// Blocks in use or not with a piece on each worker.
-  std::vector<std::vector<BlockIndex>> on_worker_;
+  std::vector<BlockIndex> free_indices_;
+  std::unordered_map<base::OrganisationName, std::vector<BlockIndex>>
+      by_organisation_;
+  /// Blocks, in use or not, with a part on each worker.
+  std::vector<std::vector<BlockIndex>> blocks_by_worker_;
+  /// Workers changed, or a block that is not intact has become unused.
   bool workers_changed_ = false;
-  /// A block has no place, or has just come free on a worker that is not open.
-  bool unplaced_ = false;
+  /// A block may have no place.
+  bool has_unplaced_ = false;
 };
 
 }  // namespace lapishatch::placement::internal
--- a/src/placement/internal/planner_impl.h
+++ b/src/placement/internal/planner_impl.h
@@ -19,7 +19,7 @@
 
 /// Implementation of Planner, by file: planner.cc the public functions,
 /// planner_places.cc placement bookkeeping, planner_decide.cc the order of
-/// decisions and borrowed work, planner_own.cc guaranteed work,
+/// decisions and borrowed work, planner_guaranteed.cc guaranteed work,
 /// planner_evict.cc selection of victims, planner_starving.cc reservations,
 /// planner_compact.cc compaction, planner_explain.cc texts for operators.
 class Planner::Impl {
@@ -68,34 +68,34 @@
   enum class Victims : std::uint8_t {
     /// Borrowed work.
     kBorrowed,
-    /// Also guaranteed work that is checkpointed, and moved elsewhere.
+    /// Also guaranteed work that can be checkpointed and moved elsewhere.
     kMovable,
   };
 
   /// A place in an organisation's own guaranteed blocks.
-  struct OwnPlace {
+  struct GuaranteedPlace {
     internal::Place place;
-    std::vector<internal::BlockUse> uses;
+    std::vector<internal::BlockUse> block_uses;
     EvictionPlan eviction_plan;
   };
 
-  /// Data kept of an evicted gang until it runs to its end.
+  /// Data of an evicted gang, kept until it ends without an eviction.
   struct GangHistory {
     int evictions = 0;
-    /// Memory that a task was seen to need, 0 when nothing is known.
+    /// Measured memory use of a task; 0 when unknown.
     std::int64_t memory_mb = 0;
   };
 
-  /// A worker that uses more than it has.
-  struct Overfill {
+  /// Measured use of a worker beyond its limits.
+  struct WorkerOverload {
     std::int64_t memory_mb = 0;
     int cores = 0;
-    /// Reports in a row with too many cores in use.
+    /// Consecutive reports with too many cores in use.
     int core_reports = 0;
     bool reported = false;
   };
 
-  /// What decides whether a gang finds room to borrow.
+  /// Properties that determine whether a gang can find borrowed capacity.
   struct BorrowKey {
     int tasks = 0;
     int accelerators = 0;
@@ -107,7 +107,7 @@
     friend auto operator<=>(const BorrowKey&, const BorrowKey&) = default;
   };
 
-  /// Capacity held back for one starving gang.
+  /// Capacity reserved for one starving gang.
   struct Reservation {
     base::JobName job;
     internal::Place place;
@@ -116,31 +116,33 @@
   GangState* FindGang(const base::JobName& job);
   const GangState* FindGang(const base::JobName& job) const;
   Account& AccountOf(const base::OrganisationName& organisation);
-  void Changed() { ++generation_; }
+  void IncrementGeneration() { ++generation_; }
 
   // planner_places.cc
-  void HoldPlace(GangState& gang);
-  void DropPlace(GangState& gang);
+  void AllocatePlace(GangState& gang);
+  void ReleasePlace(GangState& gang);
   void ClaimPlace(GangState& gang);
-  void DropClaim(GangState& gang);
-  void PickMasks(GangState& gang);
-  void BackToQueue(GangState& gang);
+  void ReleaseClaim(GangState& gang);
+  void AssignAccelerators(GangState& gang);
+  void ReturnToQueue(GangState& gang);
   void MakeBorrowed(GangState& gang);
   bool AdoptIntoBlocks(GangState& gang);
   bool CoverWithBlocks(const GangState& gang);
   void RepairBook();
-  void DetachFromBroken();
-  /// Takes the gangs of a block in use off its guarantee, so that it can be
-  /// placed elsewhere: they run on as borrowed, or in a block of their own.
+  void VacateBrokenBlocks();
+  /// Removes the gangs of a block in use from its guarantee, so that it can be
+  /// placed elsewhere: evictable gangs continue as borrowed, others in a
+  /// retiring block.
   void VacateBlock(internal::BlockIndex block);
   std::vector<GangState*> GangsIn(internal::BlockIndex block) const;
-  std::vector<internal::BlockUse> UsesFor(
+  std::vector<internal::BlockUse> BlockUsesFor(
       const internal::Place& place,
       const std::vector<internal::BlockIndex>& blocks) const;
-  /// Gangs that have to run on as borrowed when these guarantees come in force.
+  /// Gangs that lose their place in a block when these guarantees take effect:
+  /// running ones continue as borrowed, others return to the queue.
   std::vector<GangState*> GangsLosingGuarantee(
       const internal::GuaranteeBook& book);
-  std::string WhyInfeasible(const std::vector<Guarantee>& guarantees);
+  std::string InfeasibilityReason(const std::vector<Guarantee>& guarantees);
   GangPlacement PlacementOf(const GangState& gang) const;
 
   // planner_decide.cc
@@ -149,42 +151,46 @@
   void PlaceQueued(base::TimePoint now);
   bool TryPlace(GangState& gang, base::TimePoint now);
   bool TryBorrow(GangState& gang, base::TimePoint now);
-  internal::Rooms RoomsToBorrow(const GangState& gang) const;
+  internal::Offers OffersToBorrow(const GangState& gang) const;
   void Start(GangState& gang, base::TimePoint now);
   void StartOrClaim(GangState& gang, const EvictionPlan& eviction_plan,
                     const std::string& reason, base::TimePoint now);
   /// Whether a place is free now and not claimed by another gang.
-  bool PhysicallyFree(const internal::Place& place) const;
-  bool WithinLimit(const GangState& gang) const;
+  bool IsPhysicallyFree(const internal::Place& place) const;
+  bool IsWithinLimit(const GangState& gang) const;
   double ShareOf(const base::OrganisationName& organisation) const;
-  internal::PlaceFinder Finder() const;
+  internal::PlaceFinder MakeFinder() const;
 
   static BorrowKey BorrowKeyOf(const Gang& gang);
-  /// Whether a gang like this found no room since the last change.
-  bool FailedBefore(const GangState& gang);
+  /// Whether a gang with the same key failed to borrow in this generation.
+  bool HasFailedToBorrow(const GangState& gang);
 
-  // planner_own.cc
-  bool TryOwn(GangState& gang, bool may_evict, base::TimePoint now);
-  bool TryDemote(GangState& gang, base::TimePoint now);
-  void TakeOwn(GangState& gang, OwnPlace own, base::TimePoint now);
-  /// What is left in blocks: most organisations have too little, which is seen
-  /// without a look at the cell.
-  int RoomIn(const std::vector<internal::BlockIndex>& blocks) const;
-  /// What the gang is charged where it is charged least.
-  int ChargeOf(const GangState& gang) const;
-  internal::BlockIndex SmallestUnused(const GangState& gang) const;
-  OwnPlace FindOwnPlace(const GangState& gang,
-                        const std::vector<internal::BlockIndex>& blocks,
-                        base::TimePoint now);
-  OwnPlace OwnPlaceAt(internal::Place place,
-                      const std::vector<internal::BlockIndex>& blocks,
-                      base::TimePoint now);
-  OwnPlace MoveWhereFree(const GangState& gang, internal::BlockIndex block,
-                         base::TimePoint now);
-  OwnPlace MoveWhereCheapest(const GangState& gang, internal::BlockIndex block,
-                             double limit, base::TimePoint now);
-  OwnPlace MoveTo(const GangState& gang, internal::BlockIndex block,
-                  internal::Rooms rooms, base::TimePoint now);
+  // planner_guaranteed.cc
+  bool TryGuaranteed(GangState& gang, bool may_evict, base::TimePoint now);
+  bool TryTakeOverBlock(GangState& gang, base::TimePoint now);
+  void UseGuaranteedPlace(GangState& gang, GuaranteedPlace guaranteed_place,
+                          base::TimePoint now);
+  /// Unused accelerators in blocks. Most organisations have too few, which is
+  /// detected without reading the cell's workers.
+  int FreeCapacityIn(const std::vector<internal::BlockIndex>& blocks) const;
+  /// Charge of the gang on the worker type with the smallest charge.
+  int MinimumCharge(const GangState& gang) const;
+  internal::BlockIndex SmallestUnusedBlock(const GangState& gang) const;
+  GuaranteedPlace FindGuaranteedPlace(
+      const GangState& gang, const std::vector<internal::BlockIndex>& blocks,
+      base::TimePoint now);
+  GuaranteedPlace MakeGuaranteedPlace(
+      internal::Place place, const std::vector<internal::BlockIndex>& blocks,
+      base::TimePoint now);
+  GuaranteedPlace MoveBlockToFreePlace(const GangState& gang,
+                                       internal::BlockIndex block,
+                                       base::TimePoint now);
+  GuaranteedPlace MoveBlockToCheapestPlace(const GangState& gang,
+                                           internal::BlockIndex block,
+                                           double limit, base::TimePoint now);
+  GuaranteedPlace MoveBlockWithin(const GangState& gang,
+                                  internal::BlockIndex block,
+                                  internal::Offers offers, base::TimePoint now);
 
   // planner_evict.cc
   void RelieveOverloadedWorkers(base::TimePoint now);
@@ -198,41 +204,44 @@
   /// Distributes the reported memory use of a worker among its gangs.
   void AttributeMemory(internal::WorkerIndex worker, std::int64_t memory_mb);
   double MemoryOn(const GangState& gang, internal::WorkerIndex worker) const;
-  double DeclaredOn(const GangState& gang, internal::WorkerIndex worker) const;
-  void LearnMemory(const GangState& gang, internal::WorkerIndex worker);
+  double DeclaredMemoryOn(const GangState& gang,
+                          internal::WorkerIndex worker) const;
+  void RecordMemoryUse(const GangState& gang, internal::WorkerIndex worker);
 
   // planner_starving.cc
-  void ServeStarving(base::TimePoint now);
+  void PlaceStarvingGang(base::TimePoint now);
   GangState* OldestStarving(base::TimePoint now);
   bool Reserve(GangState& gang, base::TimePoint now);
   void DropReservation();
   bool IsReservationValid() const;
-  /// Accelerator seconds that may be lost by others to end the gang's wait.
+  /// Accelerator seconds of other gangs' work that may be lost to start the
+  /// gang.
   double AcceptedLoss(const GangState& gang, base::TimePoint now) const;
   bool HasRunMinimumTime(const GangState& gang, base::TimePoint now) const;
 
   // planner_compact.cc
   void Compact(base::TimePoint now);
-  /// The racks to look at this time: all in cells of ordinary size.
+  /// The racks to examine in this run: all, except in very large cells.
   std::vector<internal::RackIndex> NextRacks();
   bool TryCompact(GangState& gang,
                   const std::vector<internal::RackIndex>& racks,
                   base::TimePoint now);
   bool FitElsewhere(const std::vector<GangState*>& gangs,
                     const internal::Place& place) const;
-  /// What a gang could have of a worker by stopping others.
-  int Stoppable(internal::WorkerIndex worker,
-                Victims allowed = Victims::kBorrowed) const;
-  /// The place in one of `racks`, or across them, that loses least.
+  /// Accelerators that a gang can get on a worker by evicting others.
+  int ReclaimableOn(internal::WorkerIndex worker,
+                    Victims allowed = Victims::kBorrowed) const;
+  /// The place in one of `racks`, or across them, whose evictions lose the
+  /// least work.
   internal::Place CheapestPlace(const GangState& gang, Victims allowed,
                                 const std::vector<internal::RackIndex>& racks,
                                 base::TimePoint now) const;
 
   // planner_explain.cc
-  std::string WhyNever(const Gang& gang) const;
-  std::string WhyNotOnHardware(const Gang& gang) const;
-  std::string WhyNotOwn(const Gang& gang) const;
-  std::string WhyWaits(const GangState& gang) const;
+  std::string RefusalReason(const Gang& gang) const;
+  std::string HardwareRefusalReason(const Gang& gang) const;
+  std::string GuaranteeRefusalReason(const Gang& gang) const;
+  std::string WaitReason(const GangState& gang) const;
 
   PlannerOptions options_;
   internal::Cell cell_;
@@ -243,33 +252,33 @@
   Shape target_shape_;
   internal::GangQueue queue_;
   std::unordered_map<base::JobName, GangState> gangs_;
-  /// Running, evicting gangs, and gangs that wait for capacity, with a task on
-  /// each worker.
-  std::vector<std::vector<GangState*>> on_worker_;
+  /// Running and evicting gangs, and gangs that wait for capacity, with a task
+  /// on each worker.
+  std::vector<std::vector<GangState*>> gangs_by_worker_;
   /// Gangs that wait for evictions, in order of arrival.
   std::vector<GangState*> awaiting_capacity_;
   std::unordered_map<base::OrganisationName, Account> accounts_;
-  std::map<internal::WorkerIndex, Overfill> overfilled_;
+  std::map<internal::WorkerIndex, WorkerOverload> overloads_;
   std::unordered_map<base::JobName, GangHistory> history_;
   /// The jobs of `history_`, oldest first, to bound it.
   std::deque<base::JobName> history_order_;
   Reservation reservation_;
-  /// Gangs for which nothing to borrow was free, since `borrow_generation_`.
+  /// Keys of gangs that failed to borrow in `borrow_generation_`.
   std::set<BorrowKey> borrow_failures_;
   internal::Generation borrow_generation_ = 0;
-  /// What an empty cell of these workers is known to hold, so that a submission
-  /// seldom looks at all of them.
+  /// Keys of gangs that are known to fit an empty cell of these workers, so
+  /// that few submissions examine all workers.
   mutable std::set<BorrowKey> fits_empty_cell_;
-  /// When a starving gang that no place was found for is next looked at.
+  /// Time of the next search for a place to reserve.
   base::TimePoint next_reservation_{};
-  /// When gangs are next looked at that would fit if others moved.
+  /// Time of the next compaction.
   base::TimePoint next_compaction_{};
-  /// The rack up to which gangs were last looked at for compaction.
-  internal::RackIndex next_rack_ = 0;
+  /// The last rack that NextRacks returned.
+  internal::RackIndex last_rack_ = 0;
   internal::Generation generation_ = 1;
   /// The cell's configuration changed: queued gangs may have become impossible.
-  bool check_possible_ = false;
-  /// A block in use has a free part on a worker that takes nothing new.
+  bool recheck_feasibility_ = false;
+  /// A block in use may have a free part on a worker that accepts no new tasks.
   bool has_broken_blocks_ = false;
   std::vector<Decision> decisions_;
 };
--- a/src/placement/place_finder.cc
+++ b/src/placement/place_finder.cc
@@ -11,8 +11,8 @@
       worker_size_(std::max(1, cell.largest())),
       target_workers_(0),
       target_accelerators_(std::max(1, target_shape.accelerators)),
-      whole_(cell.racks(), 0),
-      open_(cell.racks(), 0) {
+      free_workers_by_rack_(cell.racks(), 0),
+      obtainable_by_rack_(cell.racks(), 0) {
   if (target_shape.accelerators > worker_size_) {
     target_workers_ =
         (target_shape.accelerators + worker_size_ - 1) / worker_size_;
@@ -20,36 +20,38 @@
   for (const auto& it : cell.workers()) {
     if (it.rack == kNone) continue;
     const int available = it.available();
-    open_[it.rack] += available + it.unpinned();
-    if (available == it.capacity && available > 0) ++whole_[it.rack];
+    obtainable_by_rack_[it.rack] += available + it.unpinned();
+    if (available == it.capacity && available > 0) {
+      ++free_workers_by_rack_[it.rack];
+    }
   }
 }
 
 Place PlaceFinder::Find(const Gang& gang, Adjacency adjacency,
-                        const Rooms& rooms) const {
-  const auto charges = cell_->ChargesOf(gang.needs);
+                        const Offers& offers) const {
+  const auto charges = cell_->ChargesByType(gang.needs);
   switch (adjacency) {
     case Adjacency::kWorker:
-      return OnOneWorker(gang.tasks, charges, rooms);
+      return FindOnOneWorker(gang.tasks, charges, offers);
     case Adjacency::kRack:
-      return InOneRack(gang.tasks, charges, rooms);
+      return FindInOneRack(gang.tasks, charges, offers);
     case Adjacency::kDomain:
-      return AcrossRacks(gang.tasks, charges, rooms);
+      return FindAcrossRacks(gang.tasks, charges, offers);
   }
   return {};
 }
 
-Place PlaceFinder::OnOneWorker(int tasks, const std::vector<int>& charges,
-                               const Rooms& rooms) const {
+Place PlaceFinder::FindOnOneWorker(int tasks, const std::vector<int>& charges,
+                                   const Offers& offers) const {
   Slot best;
   Score best_score;
   for (WorkerIndex it = 0; it < cell_->size(); ++it) {
     const Slot slot{it, tasks, ChargeAt(it, charges)};
-    const auto& room = rooms[it];
-    if (room.accelerators < slot.total()) continue;
-    const Score score{room.cost + Stranded(&slot, &slot + 1),
-                      open_[cell_->at(it).rack],
-                      room.accelerators - slot.total()};
+    const auto& offer = offers[it];
+    if (offer.accelerators < slot.total()) continue;
+    const Score score{offer.cost + CountStranded(&slot, &slot + 1),
+                      obtainable_by_rack_[cell_->at(it).rack],
+                      offer.accelerators - slot.total()};
     if (best.worker != kNone && best_score <= score) continue;
     best = slot;
     best_score = score;
@@ -58,19 +60,19 @@
   return {best};
 }
 
-Place PlaceFinder::Spread(int tasks, const std::vector<int>& charges,
-                          const Rooms& rooms,
-                          std::vector<WorkerIndex> among) const {
+Place PlaceFinder::AssignTasks(int tasks, const std::vector<int>& charges,
+                               const Offers& offers,
+                               std::vector<WorkerIndex> candidates) const {
   // Uses the cheapest workers first, then the smallest, so that whole workers
   // are split last.
-  std::stable_sort(among.begin(), among.end(), [&](auto a, auto b) {
-    return std::tuple(rooms[a].cost, rooms[a].accelerators) <
-           std::tuple(rooms[b].cost, rooms[b].accelerators);
+  std::stable_sort(candidates.begin(), candidates.end(), [&](auto a, auto b) {
+    return std::tuple(offers[a].cost, offers[a].accelerators) <
+           std::tuple(offers[b].cost, offers[b].accelerators);
   });
   Place place;
-  for (const auto it : among) {
+  for (const auto it : candidates) {
     const int charge = ChargeAt(it, charges);
-    const int n = std::min(tasks, rooms[it].accelerators / charge);
+    const int n = std::min(tasks, offers[it].accelerators / charge);
     if (n <= 0) continue;
     place.push_back({it, n, charge});
     tasks -= n;
@@ -79,28 +81,28 @@
   return {};
 }
 
-Place PlaceFinder::InOneRack(int tasks, const std::vector<int>& charges,
-                             const Rooms& rooms) const {
+Place PlaceFinder::FindInOneRack(int tasks, const std::vector<int>& charges,
+                                 const Offers& offers) const {
   Place best;
   Score best_score;
-  std::vector<WorkerIndex> among;
+  std::vector<WorkerIndex> candidates;
   for (RackIndex rack = 0; rack < cell_->racks(); ++rack) {
     int fitting = 0;
     int free = 0;
-    among.clear();
+    candidates.clear();
     for (const auto it : cell_->InRack(rack)) {
-      if (rooms[it].accelerators <= 0) continue;
-      const int n = rooms[it].accelerators / ChargeAt(it, charges);
+      if (offers[it].accelerators <= 0) continue;
+      const int n = offers[it].accelerators / ChargeAt(it, charges);
       if (n <= 0) continue;
       fitting += n;
-      free += rooms[it].accelerators;
-      among.push_back(it);
+      free += offers[it].accelerators;
+      candidates.push_back(it);
     }
     if (fitting < tasks) continue;
-    auto place = Spread(tasks, charges, rooms, among);
-    Score score{1.0 * Stranded(place.data(), place.data() + place.size()),
-                open_[rack], free};
-    for (const auto& it : place) score.cost += rooms[it.worker].cost;
+    auto place = AssignTasks(tasks, charges, offers, candidates);
+    Score score{1.0 * CountStranded(place.data(), place.data() + place.size()),
+                obtainable_by_rack_[rack], free};
+    for (const auto& it : place) score.cost += offers[it.worker].cost;
     if (!best.empty() && best_score <= score) continue;
     best = std::move(place);
     best_score = score;
@@ -108,24 +110,25 @@
   return best;
 }
 
-Place PlaceFinder::AcrossRacks(int tasks, const std::vector<int>& charges,
-                               const Rooms& rooms) const {
-  auto place = InOneRack(tasks, charges, rooms);
+Place PlaceFinder::FindAcrossRacks(int tasks, const std::vector<int>& charges,
+                                   const Offers& offers) const {
+  auto place = FindInOneRack(tasks, charges, offers);
   if (!place.empty()) return place;
-  // Racks that offer most go first, so that few racks are touched.
-  std::vector<std::pair<int, RackIndex>> offers;
+  // Uses the racks with the most capacity first, so that the gang spans few
+  // racks.
+  std::vector<std::pair<int, RackIndex>> rack_capacities;
   for (RackIndex rack = 0; rack < cell_->racks(); ++rack) {
     int fitting = 0;
     for (const auto it : cell_->InRack(rack)) {
-      fitting += std::max(0, rooms[it].accelerators / ChargeAt(it, charges));
+      fitting += std::max(0, offers[it].accelerators / ChargeAt(it, charges));
     }
-    if (fitting > 0) offers.emplace_back(-fitting, rack);
+    if (fitting > 0) rack_capacities.emplace_back(-fitting, rack);
   }
-  std::sort(offers.begin(), offers.end());
+  std::sort(rack_capacities.begin(), rack_capacities.end());
   int left = tasks;
-  for (const auto& [fitting, rack] : offers) {
+  for (const auto& [fitting, rack] : rack_capacities) {
     const int n = std::min(left, -fitting);
-    const auto part = Spread(n, charges, rooms, cell_->InRack(rack));
+    const auto part = AssignTasks(n, charges, offers, cell_->InRack(rack));
     place.insert(place.end(), part.begin(), part.end());
     left -= n;
     if (left == 0) return place;
@@ -133,12 +136,12 @@
   return {};
 }
 
-int PlaceFinder::StrandedIn(int whole_workers) const {
+int PlaceFinder::CountStrandedInRack(int whole_workers) const {
   if (target_workers_ == 0) return 0;
   return whole_workers % target_workers_ * worker_size_;
 }
 
-int PlaceFinder::Stranded(const Slot* begin, const Slot* end) const {
+int PlaceFinder::CountStranded(const Slot* begin, const Slot* end) const {
   int change = 0;
   int whole_taken = 0;
   for (const auto* it = begin; it != end; ++it) {
@@ -155,8 +158,9 @@
     }
   }
   if (whole_taken == 0) return change;
-  const int whole = whole_[cell_->at(begin->worker).rack];
-  return change + StrandedIn(whole - whole_taken) - StrandedIn(whole);
+  const int whole = free_workers_by_rack_[cell_->at(begin->worker).rack];
+  return change + CountStrandedInRack(whole - whole_taken) -
+         CountStrandedInRack(whole);
 }
 
 }  // namespace lapishatch::placement::internal
--- a/src/placement/planner.cc
+++ b/src/placement/planner.cc
@@ -14,10 +14,11 @@
 namespace {
 
 /// A gang is evicted when its worker uses more than this share of its memory:
-/// reports lag, so a worker that is reported full may already exceed it.
+/// reports lag, so a worker that is reported full has already exceeded its
+/// memory.
 constexpr double kMemoryLimit = 0.95;
 
-/// Jobs of which the history is remembered, at most.
+/// Maximum number of jobs whose history is kept.
 constexpr std::size_t kMaxHistory = 4096;
 
 }  // namespace
@@ -31,10 +32,10 @@
     return;
   }
   cell_.Put(spec);
-  on_worker_.resize(cell_.size());
-  check_possible_ = true;
+  gangs_by_worker_.resize(cell_.size());
+  recheck_feasibility_ = true;
   fits_empty_cell_.clear();
-  book_.WorkersChanged();
+  book_.MarkWorkersChanged();
   RepairBook();
 }
 
@@ -42,11 +43,11 @@
   const auto worker = cell_.Find(name);
   if (worker == kNone || !cell_.at(worker).present) return;
   cell_.Remove(worker);
-  overfilled_.erase(worker);
-  check_possible_ = true;
+  overloads_.erase(worker);
+  recheck_feasibility_ = true;
   fits_empty_cell_.clear();
   has_broken_blocks_ = true;
-  book_.WorkersChanged();
+  book_.MarkWorkersChanged();
   RepairBook();
 }
 
@@ -56,29 +57,29 @@
   if (worker == kNone || cell_.at(worker).health == health) return;
   cell_.at(worker).health = health;
   has_broken_blocks_ = true;
-  book_.WorkersChanged();
+  book_.MarkWorkersChanged();
   RepairBook();
 }
 
 std::string Planner::Impl::SetGuarantees(
     const std::vector<Guarantee>& guarantees) {
-  auto reason = WhyInfeasible(guarantees);
+  auto reason = InfeasibilityReason(guarantees);
   if (reason.empty()) ForceGuarantees(guarantees);
   return reason;
 }
 
 void Planner::Impl::ForceGuarantees(const std::vector<Guarantee>& guarantees) {
   guarantees_ = guarantees;
-  book_.Set(guarantees);
+  book_.SetGuarantees(guarantees);
   for (auto* it : GangsLosingGuarantee(book_)) {
     if (it->phase == GangPhase::kAwaitingCapacity) {
-      BackToQueue(*it);
+      ReturnToQueue(*it);
     } else {
       MakeBorrowed(*it);
     }
   }
-  target_shape_ = book_.largest();
-  check_possible_ = true;
+  target_shape_ = book_.largest_shape();
+  recheck_feasibility_ = true;
   RepairBook();
 }
 
@@ -89,8 +90,8 @@
     account.share.organisation = name;
   }
   for (const auto& it : shares) AccountOf(it.organisation).share = it;
-  check_possible_ = true;
-  Changed();
+  recheck_feasibility_ = true;
+  IncrementGeneration();
 }
 
 std::string Planner::Impl::Submit(const Gang& gang, base::TimePoint now) {
@@ -110,7 +111,7 @@
     state.gang.needs.memory_mb =
         std::max(gang.needs.memory_mb, history->second.memory_mb);
   }
-  auto reason = WhyNever(state.gang);
+  auto reason = RefusalReason(state.gang);
   if (!reason.empty()) {
     if (state.gang.needs.memory_mb > gang.needs.memory_mb) {
       reason = "in its last run a task used " +
@@ -131,7 +132,7 @@
   auto& state = gangs_[gang.job];
   state.gang = gang;
   state.started = started;
-  state.saved = started;
+  state.last_checkpoint = started;
   state.queued = started;
   state.phase = GangPhase::kRunning;
   auto tasks = placement.tasks;
@@ -140,7 +141,7 @@
   for (const auto& task : tasks) {
     const auto worker = cell_.Find(task.worker);
     if (worker == kNone) continue;
-    state.masks.push_back(task.accelerators);
+    state.accelerator_masks.push_back(task.accelerators);
     if (!state.place.empty() && state.place.back().worker == worker) {
       ++state.place.back().tasks;
       continue;
@@ -148,20 +149,24 @@
     const int charge = internal::ChargeOn(cell_.spec(worker), gang.needs);
     state.place.push_back({worker, 1, charge});
   }
-  HoldPlace(state);
-  if (placement.borrowed && internal::Evictable(gang)) return;
-  if (AdoptIntoBlocks(state) || internal::Evictable(gang)) return RepairBook();
+  AllocatePlace(state);
+  if (placement.borrowed && internal::IsEvictable(gang)) return;
+  if (AdoptIntoBlocks(state) || internal::IsEvictable(gang)) {
+    return RepairBook();
+  }
   // The gang can't be evicted and no guarantee covers it, so no guarantee can
   // use its place until it ends.
-  for (const auto it : book_.ConflictsWith(state.place)) VacateBlock(it);
+  for (const auto it : book_.ConflictingBlocksInUse(state.place)) {
+    VacateBlock(it);
+  }
   if (AdoptIntoBlocks(state)) return RepairBook();
   const auto block = book_.AddRetiring(gang.organisation, state.place);
   for (const auto& it : state.place) {
-    state.uses.push_back({block, it.worker, it.total()});
+    state.block_uses.push_back({block, it.worker, it.total()});
   }
-  book_.Use(state.uses);
+  book_.Allocate(state.block_uses);
   AccountOf(gang.organisation).borrowed -= state.charge();
-  book_.WorkersChanged();
+  book_.MarkWorkersChanged();
   RepairBook();
 }
 
@@ -173,7 +178,7 @@
     queue_.Remove(gang->gang);
     gangs_.erase(job);
   } else if (gang->phase == GangPhase::kAwaitingCapacity) {
-    DropClaim(*gang);
+    ReleaseClaim(*gang);
     gangs_.erase(job);
     RepairBook();
   }
@@ -197,7 +202,7 @@
   } else {
     history_.erase(job);
   }
-  DropPlace(*gang);
+  ReleasePlace(*gang);
   gangs_.erase(job);
   RepairBook();
 }
@@ -205,7 +210,9 @@
 void Planner::Impl::ReportCheckpoint(const base::JobName& job,
                                      base::TimePoint now) {
   auto* gang = FindGang(job);
-  if (gang != nullptr) gang->saved = std::max(gang->saved, now);
+  if (gang != nullptr) {
+    gang->last_checkpoint = std::max(gang->last_checkpoint, now);
+  }
 }
 
 void Planner::Impl::ReportUsage(const base::WorkerName& name, int cores,
@@ -219,14 +226,14 @@
   const auto over_memory = std::max<std::int64_t>(0, memory_mb - limit);
   const int over_cores = std::max(0, cores - spec.cores);
   if (over_memory == 0 && over_cores == 0) {
-    overfilled_.erase(worker);
+    overloads_.erase(worker);
     return;
   }
-  auto& overfill = overfilled_[worker];
-  overfill.memory_mb = over_memory;
-  overfill.cores = over_cores;
-  overfill.core_reports = over_cores > 0 ? overfill.core_reports + 1 : 0;
-  overfill.reported = true;
+  auto& overload = overloads_[worker];
+  overload.memory_mb = over_memory;
+  overload.cores = over_cores;
+  overload.core_reports = over_cores > 0 ? overload.core_reports + 1 : 0;
+  overload.reported = true;
 }
 
 GangState* Planner::Impl::FindGang(const base::JobName& job) {
--- a/src/placement/planner_compact.cc
+++ b/src/placement/planner_compact.cc
@@ -8,20 +8,21 @@
 
 namespace lapishatch::placement {
 
+using internal::Offers;
 using internal::Place;
-using internal::Rooms;
 using internal::WorkerIndex;
 
 namespace {
 
-/// The search for moves is expensive, and running it seldom costs nothing.
+/// Interval between searches for moves: a search is expensive, and searching
+/// rarely has no drawback.
 constexpr base::Duration kCompactionInterval{10'000};
 
 /// Maximum number of waiting gangs examined in each run.
 constexpr std::size_t kMaxGangsExamined = 16;
 
-/// Workers looked at each time: in larger cells fewer gangs, and for those only
-/// some of the racks, the next ones the next time.
+/// Maximum number of workers examined in each run: in larger cells fewer gangs
+/// are examined, and for those only some of the racks, in rotation.
 constexpr int kMaxWorkersExamined = 2'600;
 
 /// Maximum number of gangs moved for one waiting gang.
@@ -34,13 +35,14 @@
   next_compaction_ = now + kCompactionInterval;
   const int free = free_accelerators();
   std::vector<GangState*> waiting;
-  for (const auto& job : queue_.Heads()) {
+  for (const auto& job : queue_.OldestOfEachKind()) {
     auto* it = FindGang(job);
-    if (!internal::MayBorrow(it->gang) || !WithinLimit(*it)) continue;
+    if (!internal::MayBorrow(it->gang) || !IsWithinLimit(*it)) continue;
     if (it->gang.accelerators() > free || job == reservation_.job) continue;
     waiting.push_back(it);
   }
-  // The oldest few, so that a long queue does not make decisions slow.
+  // Examines only the oldest gangs, so that a long queue does not slow
+  // decisions down.
   const auto most = std::min(
       waiting.size(),
       std::clamp<std::size_t>(kMaxWorkersExamined / std::max(1, cell_.size()),
@@ -63,9 +65,9 @@
   std::vector<internal::RackIndex> racks;
   int workers = 0;
   for (int n = 0; n < cell_.racks() && workers < kMaxWorkersExamined; ++n) {
-    next_rack_ = (next_rack_ + 1) % cell_.racks();
-    racks.push_back(next_rack_);
-    workers += static_cast<int>(cell_.InRack(next_rack_).size());
+    last_rack_ = (last_rack_ + 1) % cell_.racks();
+    racks.push_back(last_rack_);
+    workers += static_cast<int>(cell_.InRack(last_rack_).size());
   }
   return racks;
 }
@@ -98,45 +100,47 @@
 
 bool Planner::Impl::FitElsewhere(const std::vector<GangState*>& gangs,
                                  const Place& place) const {
-  Rooms rooms(cell_.size());
+  Offers offers(cell_.size());
   for (WorkerIndex it = 0; it < cell_.size(); ++it) {
-    if (!cell_.at(it).held) rooms[it].accelerators = cell_.at(it).available();
+    if (!cell_.at(it).in_reservation) {
+      offers[it].accelerators = cell_.at(it).available();
+    }
   }
-  for (const auto& it : place) rooms[it.worker].accelerators = 0;
-  const auto finder = Finder();
+  for (const auto& it : place) offers[it.worker].accelerators = 0;
+  const auto finder = MakeFinder();
   for (const auto* gang : gangs) {
-    const auto found = finder.Find(gang->gang, gang->gang.adjacency, rooms);
+    const auto found = finder.Find(gang->gang, gang->gang.adjacency, offers);
     if (found.empty()) return false;
     for (const auto& it : found) {
-      rooms[it.worker].accelerators -= it.total();
+      offers[it.worker].accelerators -= it.total();
     }
   }
   return true;
 }
 
-int Planner::Impl::Stoppable(WorkerIndex index, Victims allowed) const {
-  if (!cell_.at(index).open()) return 0;
-  int room = cell_.at(index).left();
-  for (const auto* it : on_worker_[index]) {
-    if (CanBeVictim(*it, allowed)) room += it->charge_on(index);
+int Planner::Impl::ReclaimableOn(WorkerIndex index, Victims allowed) const {
+  if (!cell_.at(index).schedulable()) return 0;
+  int reclaimable = cell_.at(index).free_after_pending();
+  for (const auto* it : gangs_by_worker_[index]) {
+    if (CanBeVictim(*it, allowed)) reclaimable += it->charge_on(index);
   }
-  return room;
+  return reclaimable;
 }
 
 Place Planner::Impl::CheapestPlace(
     const GangState& gang, Victims allowed,
     const std::vector<internal::RackIndex>& racks, base::TimePoint now) const {
-  const auto charges = cell_.ChargesOf(gang.gang.needs);
-  Rooms rooms(cell_.size());
+  const auto charges = cell_.ChargesByType(gang.gang.needs);
+  Offers offers(cell_.size());
   for (const auto rack : racks) {
     for (const auto it : cell_.InRack(rack)) {
-      rooms[it].accelerators = Stoppable(it, allowed);
-      const int need = std::min(rooms[it].accelerators,
+      offers[it].accelerators = ReclaimableOn(it, allowed);
+      const int need = std::min(offers[it].accelerators,
                                 gang.gang.tasks * charges[cell_.at(it).type]);
-      rooms[it].cost = EvictionCost(it, need, allowed, now);
+      offers[it].cost = EvictionCost(it, need, allowed, now);
     }
   }
-  return Finder().Find(gang.gang, gang.gang.adjacency, rooms);
+  return MakeFinder().Find(gang.gang, gang.gang.adjacency, offers);
 }
 
 }  // namespace lapishatch::placement
--- a/src/placement/planner_decide.cc
+++ b/src/placement/planner_decide.cc
@@ -1,4 +1,4 @@
-// The order of decisions, and borrowed work.
+// Order of decisions, and placement of borrowed work.
 
 #include <algorithm>
 #include <map>
@@ -9,23 +9,24 @@
 namespace lapishatch::placement {
 
 using internal::GangPhase;
+using internal::Offers;
 using internal::Place;
-using internal::Rooms;
 
 namespace {
 
-/// What it costs, in the units of the finder, to put borrowed work where it is
-/// evicted when an owner comes.
-constexpr double kUnderGuarantee = 1;
-/// The same for work that starts again from nothing then.
-constexpr double kUnderGuaranteeUnsaved = 8;
-/// What is held back may be used by work that is stopped at little cost.
+/// Placement cost, in the units of PlaceFinder, of borrowed work on capacity
+/// from which it is evicted when the owner needs it.
+constexpr double kGuaranteedCapacityCost = 1;
+/// The same for work that then starts again from the beginning.
+constexpr double kGuaranteedCapacityRestartCost = 8;
+/// Whether the gang may use reserved capacity: evicting it must cost little.
 bool MayBackfill(const Gang& gang) {
   return gang.checkpointable || gang.work_class == base::WorkClass::kUrgent;
 }
 
-/// What it costs to put work where it is stopped for a starving gang.
-constexpr double kBackfill = 100;
+/// Placement cost of work on capacity from which it is evicted for a starving
+/// gang.
+constexpr double kBackfillCost = 100;
 
 }  // namespace
 
@@ -34,20 +35,21 @@
   RefuseImpossible();
   RelieveOverloadedWorkers(now);
   StartClaimed(now);
-  ServeStarving(now);
+  PlaceStarvingGang(now);
   PlaceQueued(now);
   Compact(now);
-  // Gangs that gave up their guarantee may have freed room for other blocks.
+  // Gangs that gave up their guarantee may have freed capacity for other
+  // blocks.
   book_.Repair();
   return std::move(decisions_);
 }
 
 void Planner::Impl::RefuseImpossible() {
-  if (!check_possible_) return;
-  check_possible_ = false;
+  if (!recheck_feasibility_) return;
+  recheck_feasibility_ = false;
   for (const auto& it : queue_.All()) {
     const auto gang = gangs_.find(it.job);
-    auto reason = WhyNever(gang->second.gang);
+    auto reason = RefusalReason(gang->second.gang);
     if (reason.empty()) continue;
     decisions_.push_back(RefuseGang{it.job, std::move(reason)});
     queue_.Remove(gang->second.gang);
@@ -60,32 +62,32 @@
   // Claims are served in order: capacity that an earlier gang waits for is not
   // given to a later one, so that no gang waits longer than its own victims
   // take to stop.
-  std::map<internal::WorkerIndex, int> promised;
+  std::map<internal::WorkerIndex, int> claimed_earlier;
   for (auto* it : awaiting_capacity) {
     const bool free =
         std::all_of(it->place.begin(), it->place.end(), [&](const auto& slot) {
           const auto& worker = cell_.at(slot.worker);
-          return worker.used + promised[slot.worker] + slot.total() <=
+          return worker.used + claimed_earlier[slot.worker] + slot.total() <=
                  worker.capacity;
         });
     if (!free) {
       for (const auto& slot : it->place) {
-        promised[slot.worker] += slot.total();
+        claimed_earlier[slot.worker] += slot.total();
       }
       continue;
     }
-    // The claim becomes a place, in the same blocks.
-    const auto uses = std::exchange(it->uses, {});
-    DropClaim(*it);
-    it->uses = uses;
+    // The claim becomes an allocation in the same blocks.
+    const auto uses = std::exchange(it->block_uses, {});
+    ReleaseClaim(*it);
+    it->block_uses = uses;
     Start(*it, now);
   }
 }
 
-bool Planner::Impl::PhysicallyFree(const Place& place) const {
+bool Planner::Impl::IsPhysicallyFree(const Place& place) const {
   return std::all_of(place.begin(), place.end(), [&](const auto& it) {
     const auto& worker = cell_.at(it.worker);
-    return worker.open() &&
+    return worker.schedulable() &&
            worker.used + worker.claimed + it.total() <= worker.capacity;
   });
 }
@@ -93,11 +95,11 @@
 void Planner::Impl::Start(GangState& gang, base::TimePoint now) {
   gang.phase = GangPhase::kRunning;
   gang.started = now;
-  gang.saved = now;
-  gang.masks.clear();
+  gang.last_checkpoint = now;
+  gang.accelerator_masks.clear();
   gang.memory_mb.clear();
-  gang.reports = 0;
-  HoldPlace(gang);
+  gang.usage_reports = 0;
+  AllocatePlace(gang);
   decisions_.push_back(StartGang{gang.gang.job, PlacementOf(gang)});
 }
 
@@ -107,19 +109,19 @@
                                  base::TimePoint now) {
   for (auto* it : eviction_plan.victims) {
     if (it->phase == GangPhase::kAwaitingCapacity) {
-      BackToQueue(*it);
+      ReturnToQueue(*it);
     } else {
       Evict(*it, gang.gang.job, reason);
     }
   }
-  if (PhysicallyFree(gang.place)) {
+  if (IsPhysicallyFree(gang.place)) {
     Start(gang, now);
   } else {
     ClaimPlace(gang);
   }
 }
 
-bool Planner::Impl::WithinLimit(const GangState& gang) const {
+bool Planner::Impl::IsWithinLimit(const GangState& gang) const {
   const auto it = accounts_.find(gang.gang.organisation);
   if (it == accounts_.end()) return true;
   const auto& limit = it->second.share.running_accelerators_limit;
@@ -140,7 +142,7 @@
       [&](const auto& organisation) { return ShareOf(organisation); },
       [&](const base::JobName& job) {
         auto& gang = *FindGang(job);
-        if (!WithinLimit(gang) || !TryPlace(gang, now)) return false;
+        if (!IsWithinLimit(gang) || !TryPlace(gang, now)) return false;
         queue_.Remove(gang.gang);
         return true;
       });
@@ -148,29 +150,33 @@
 
 bool Planner::Impl::TryPlace(GangState& gang, base::TimePoint now) {
   // Placements that evict no gang are tried first.
-  return TryOwn(gang, /*may_evict=*/false, now) || TryBorrow(gang, now) ||
-         TryOwn(gang, /*may_evict=*/true, now) || TryDemote(gang, now);
+  return TryGuaranteed(gang, /*may_evict=*/false, now) ||
+         TryBorrow(gang, now) || TryGuaranteed(gang, /*may_evict=*/true, now) ||
+         TryTakeOverBlock(gang, now);
 }
 
-internal::PlaceFinder Planner::Impl::Finder() const {
+internal::PlaceFinder Planner::Impl::MakeFinder() const {
   return internal::PlaceFinder(cell_, target_shape_);
 }
 
-Rooms Planner::Impl::RoomsToBorrow(const GangState& gang) const {
+Offers Planner::Impl::OffersToBorrow(const GangState& gang) const {
   const bool holds_reservation = gang.gang.job == reservation_.job;
   const bool may_backfill = holds_reservation || MayBackfill(gang.gang);
-  Rooms rooms(cell_.size());
+  Offers offers(cell_.size());
   for (internal::WorkerIndex it = 0; it < cell_.size(); ++it) {
     const auto& worker = cell_.at(it);
-    if (worker.held && !may_backfill) continue;
-    rooms[it].accelerators = worker.available();
+    if (worker.in_reservation && !may_backfill) continue;
+    offers[it].accelerators = worker.available();
     if (worker.slack() < worker.available()) {
-      rooms[it].cost =
-          gang.gang.checkpointable ? kUnderGuarantee : kUnderGuaranteeUnsaved;
+      offers[it].cost = gang.gang.checkpointable
+                            ? kGuaranteedCapacityCost
+                            : kGuaranteedCapacityRestartCost;
+    }
+    if (worker.in_reservation && !holds_reservation) {
+      offers[it].cost += kBackfillCost;
     }
-    if (worker.held && !holds_reservation) rooms[it].cost += kBackfill;
   }
-  return rooms;
+  return offers;
 }
 
 Planner::Impl::BorrowKey Planner::Impl::BorrowKeyOf(const Gang& gang) {
@@ -183,7 +189,7 @@
           .may_backfill = MayBackfill(gang)};
 }
 
-bool Planner::Impl::FailedBefore(const GangState& gang) {
+bool Planner::Impl::HasFailedToBorrow(const GangState& gang) {
   // Starting gangs only reduces free capacity, so a failure stays valid until
   // the generation changes.
   if (borrow_generation_ != generation_) {
@@ -196,9 +202,9 @@
 bool Planner::Impl::TryBorrow(GangState& gang, base::TimePoint now) {
   if (!internal::MayBorrow(gang.gang)) return false;
   const bool holds_reservation = gang.gang.job == reservation_.job;
-  if (!holds_reservation && FailedBefore(gang)) return false;
+  if (!holds_reservation && HasFailedToBorrow(gang)) return false;
   auto place =
-      Finder().Find(gang.gang, gang.gang.adjacency, RoomsToBorrow(gang));
+      MakeFinder().Find(gang.gang, gang.gang.adjacency, OffersToBorrow(gang));
   if (place.empty()) {
     if (!holds_reservation) borrow_failures_.insert(BorrowKeyOf(gang.gang));
     return false;
@@ -206,8 +212,9 @@
   gang.place = std::move(place);
   gang.backfill =
       !holds_reservation &&
-      std::any_of(gang.place.begin(), gang.place.end(),
-                  [&](const auto& it) { return cell_.at(it.worker).held; });
+      std::any_of(gang.place.begin(), gang.place.end(), [&](const auto& it) {
+        return cell_.at(it.worker).in_reservation;
+      });
   Start(gang, now);
   return true;
 }
--- a/src/placement/planner_evict.cc
+++ b/src/placement/planner_evict.cc
@@ -15,25 +15,26 @@
 
 namespace {
 
-/// Reports in a row with too many cores in use before a gang is moved: cores
-/// are shared out by the worker and only slow its tasks down.
+/// Consecutive reports with too many cores in use before a gang is evicted: a
+/// shortage of cores only slows tasks down, since the worker shares its cores
+/// among them.
 constexpr int kCoreReports = 3;
 
-/// Seconds that stopping and continuing a checkpointed gang costs it.
+/// Seconds that a checkpointed gang loses when it is stopped and continued.
 constexpr double kCheckpointSeconds = 30;
 
-/// A checkpoint on the way out may fail: this share of the work since the last
-/// one counts as lost.
-constexpr double kCheckpointFailures = 0.02;
+/// The checkpoint before an eviction may fail, so this share of the work since
+/// the last one counts as lost.
+constexpr double kCheckpointFailureShare = 0.02;
 
-/// Seconds of quiet work that one of urgent and of normal work counts for:
-/// crews and brokers wait for these, and they are short, so that a stop costs
-/// them a large part of their time.
+/// Weights of a lost second of urgent and of normal work, in seconds of quiet
+/// work: crews and brokers wait for these gangs, and they are short, so that a
+/// stop costs them a large part of their run time.
 constexpr double kUrgentWeight = 40;
 constexpr double kNormalWeight = 10;
 
-/// How much a second lost by a gang counts.
-double WeightOf(const Gang& gang) {
+/// Weight of one lost second of a gang.
+double ClassWeight(const Gang& gang) {
   switch (gang.work_class) {
     case base::WorkClass::kUrgent:
       return kUrgentWeight;
@@ -55,11 +56,11 @@
                                base::TimePoint now) const {
   if (gang.phase == GangPhase::kAwaitingCapacity) return 0;
   const double ran = Seconds(now - gang.started);
-  const double weight = gang.charge() * WeightOf(gang.gang);
+  const double weight = gang.charge() * ClassWeight(gang.gang);
   if (!gang.gang.checkpointable) return (ran + 1) * weight;
-  const double unsaved = Seconds(now - gang.saved);
+  const double unsaved = Seconds(now - gang.last_checkpoint);
   const double lost =
-      std::min(ran, kCheckpointSeconds) + kCheckpointFailures * unsaved;
+      std::min(ran, kCheckpointSeconds) + kCheckpointFailureShare * unsaved;
   return lost * weight;
 }
 
@@ -67,7 +68,7 @@
                           std::string reason) {
   if (!gang.borrowed()) MakeBorrowed(gang);
   gang.phase = GangPhase::kEvicting;
-  gang.reason = reason;
+  gang.eviction_reason = reason;
   for (const auto& it : gang.place) {
     cell_.at(it.worker).evicting += it.total();
   }
@@ -86,25 +87,26 @@
   EvictionPlan eviction_plan;
   std::map<WorkerIndex, int> missing;
   for (const auto& it : place) {
-    missing[it.worker] = it.total() - cell_.at(it.worker).left();
+    missing[it.worker] = it.total() - cell_.at(it.worker).free_after_pending();
   }
   const auto chosen = [&](const GangState* it) {
     return std::find(eviction_plan.victims.begin(), eviction_plan.victims.end(),
                      it) != eviction_plan.victims.end();
   };
-  const auto take_from_missing = [&](const GangState& gang, int sign) {
+  const auto subtract_from_missing = [&](const GangState& gang, int sign) {
     for (const auto& slot : gang.place) {
       const auto entry = missing.find(slot.worker);
       if (entry != missing.end()) entry->second -= sign * slot.total();
     }
   };
   while (true) {
-    // The gang that loses least for each accelerator it frees here.
+    // Picks the gang that loses the least work for each accelerator that it
+    // frees here.
     GangState* best = nullptr;
     double best_rate = 0;
     for (const auto& [index, count] : missing) {
       if (count <= 0) continue;
-      for (auto* it : on_worker_[index]) {
+      for (auto* it : gangs_by_worker_[index]) {
         if (!CanBeVictim(*it, allowed) || chosen(it)) continue;
         int frees = 0;
         for (const auto& slot : it->place) {
@@ -120,7 +122,7 @@
     }
     if (best == nullptr) break;
     eviction_plan.victims.push_back(best);
-    take_from_missing(*best, 1);
+    subtract_from_missing(*best, 1);
   }
   eviction_plan.possible =
       std::all_of(missing.begin(), missing.end(),
@@ -128,14 +130,14 @@
   // Drops victims that later choices have made unnecessary.
   auto& victims = eviction_plan.victims;
   for (std::size_t i = 0; i < victims.size();) {
-    take_from_missing(*victims[i], -1);
-    const bool needless =
+    subtract_from_missing(*victims[i], -1);
+    const bool is_unnecessary =
         std::all_of(missing.begin(), missing.end(),
                     [](const auto& it) { return it.second <= 0; });
-    if (needless) {
+    if (is_unnecessary) {
       victims.erase(victims.begin() + static_cast<std::ptrdiff_t>(i));
     } else {
-      take_from_missing(*victims[i], 1);
+      subtract_from_missing(*victims[i], 1);
       ++i;
     }
   }
@@ -145,10 +147,10 @@
 
 double Planner::Impl::EvictionCost(WorkerIndex index, int need, Victims allowed,
                                    base::TimePoint now) const {
-  int missing = need - cell_.at(index).left();
+  int missing = need - cell_.at(index).free_after_pending();
   if (missing <= 0) return 0;
   std::vector<std::pair<double, int>> candidates;
-  for (const auto* it : on_worker_[index]) {
+  for (const auto* it : gangs_by_worker_[index]) {
     if (!CanBeVictim(*it, allowed)) continue;
     const int frees = it->charge_on(index);
     candidates.emplace_back(LostWork(*it, now) / frees, frees);
@@ -164,31 +166,32 @@
 }
 
 void Planner::Impl::RelieveOverloadedWorkers(base::TimePoint now) {
-  for (auto& entry : overfilled_) {
+  for (auto& entry : overloads_) {
     const auto index = entry.first;
-    auto& overfill = entry.second;
+    auto& overload = entry.second;
     // Evicts one gang for each report; the next report shows whether that was
     // enough.
-    if (!std::exchange(overfill.reported, false)) continue;
-    const bool memory = overfill.memory_mb > 0;
-    if (!memory && overfill.core_reports < kCoreReports) continue;
+    if (!std::exchange(overload.reported, false)) continue;
+    const bool memory = overload.memory_mb > 0;
+    if (!memory && overload.core_reports < kCoreReports) continue;
     if (cell_.at(index).evicting > 0) continue;
     // Picks the gang that exceeds its declared memory most; when none does, the
     // one that loses least work.
     GangState* victim = nullptr;
     const auto rank = [&](const GangState& gang) {
-      const double excess = MemoryOn(gang, index) - DeclaredOn(gang, index);
+      const double excess =
+          MemoryOn(gang, index) - DeclaredMemoryOn(gang, index);
       return std::tuple(memory ? -std::max(0.0, excess) : 0.0, !gang.borrowed(),
                         LostWork(gang, now));
     };
-    for (auto* it : on_worker_[index]) {
+    for (auto* it : gangs_by_worker_[index]) {
       if (it->phase != GangPhase::kRunning) continue;
-      if (!internal::Evictable(it->gang)) continue;
+      if (!internal::IsEvictable(it->gang)) continue;
       if (victim != nullptr && rank(*victim) <= rank(*it)) continue;
       victim = it;
     }
     if (victim == nullptr) continue;
-    if (memory) LearnMemory(*victim, index);
+    if (memory) RecordMemoryUse(*victim, index);
     const auto& name = cell_.spec(index).name.str();
     Evict(*victim, victim->gang.job,
           memory ? "worker " + name +
@@ -207,8 +210,8 @@
   return 0;
 }
 
-double Planner::Impl::DeclaredOn(const GangState& gang,
-                                 WorkerIndex index) const {
+double Planner::Impl::DeclaredMemoryOn(const GangState& gang,
+                                       WorkerIndex index) const {
   for (const auto& it : gang.place) {
     if (it.worker != index) continue;
     return static_cast<double>(it.tasks * gang.gang.needs.memory_mb);
@@ -217,20 +220,21 @@
 }
 
 void Planner::Impl::AttributeMemory(WorkerIndex index, std::int64_t memory_mb) {
-  // What has changed since the last report is due to the gangs that are newest
-  // here: those seen in many reports are known well, and weigh little.
+  // Attributes the change since the last report mostly to the newest gangs
+  // here: the estimate for a gang with many reports is already accurate, so its
+  // weight is small.
   auto change = static_cast<double>(memory_mb);
   double weights = 0;
   const auto weight = [&](const GangState& gang) {
-    const double seen = 1.0 + gang.reports;
-    return (1 + DeclaredOn(gang, index)) / (seen * seen * seen);
+    const double seen = 1.0 + gang.usage_reports;
+    return (1 + DeclaredMemoryOn(gang, index)) / (seen * seen * seen);
   };
-  for (const auto* it : on_worker_[index]) {
+  for (const auto* it : gangs_by_worker_[index]) {
     if (it->phase == GangPhase::kAwaitingCapacity) continue;
     change -= MemoryOn(*it, index);
     weights += weight(*it);
   }
-  for (auto* it : on_worker_[index]) {
+  for (auto* it : gangs_by_worker_[index]) {
     if (it->phase == GangPhase::kAwaitingCapacity) continue;
     it->memory_mb.resize(it->place.size(), 0);
     const double part = change * weight(*it) / weights;
@@ -238,13 +242,13 @@
       if (it->place[i].worker != index) continue;
       it->memory_mb[i] = std::max(0.0, it->memory_mb[i] + part);
     }
-    ++it->reports;
+    ++it->usage_reports;
   }
 }
 
-void Planner::Impl::LearnMemory(const GangState& gang, WorkerIndex index) {
+void Planner::Impl::RecordMemoryUse(const GangState& gang, WorkerIndex index) {
   const double used = MemoryOn(gang, index);
-  const double declared = DeclaredOn(gang, index);
+  const double declared = DeclaredMemoryOn(gang, index);
   if (used <= declared) return;
   const auto per_task =
       static_cast<std::int64_t>(static_cast<double>(gang.gang.needs.memory_mb) *
--- a/src/placement/planner_explain.cc
+++ b/src/placement/planner_explain.cc
@@ -11,15 +11,15 @@
 
 namespace {
 
-/// Shapes of gangs remembered as possible, at most: declared memory may make
-/// each gang another one.
+/// Maximum number of cached keys of gangs that fit: declared memory is part of
+/// the key, so every gang may have a different one.
 constexpr std::size_t kMaxCachedShapes = 4096;
 
 std::string Plural(int n, const std::string& noun) {
   return std::to_string(n) + " " + noun + (n == 1 ? "" : "s");
 }
 
-std::string WhereText(Adjacency adjacency) {
+std::string AdjacencyText(Adjacency adjacency) {
   switch (adjacency) {
     case Adjacency::kWorker:
       return "on one worker";
@@ -36,14 +36,14 @@
          Plural(gang.needs.accelerators, "accelerator") + ", " +
          Plural(gang.needs.cores, "core") + " and " +
          std::to_string(gang.needs.memory_mb) + " MB each, " +
-         WhereText(gang.adjacency);
+         AdjacencyText(gang.adjacency);
 }
 
 }  // namespace
 
-std::string Planner::Impl::WhyNever(const Gang& gang) const {
+std::string Planner::Impl::RefusalReason(const Gang& gang) const {
   if (gang.tasks < 1) return "a gang needs at least one task";
-  auto reason = WhyNotOnHardware(gang);
+  auto reason = HardwareRefusalReason(gang);
   if (!reason.empty()) return reason;
   const auto it = accounts_.find(gang.organisation);
   if (it != accounts_.end()) {
@@ -55,14 +55,14 @@
     }
   }
   if (internal::MayBorrow(gang)) return {};
-  return WhyNotOwn(gang);
+  return GuaranteeRefusalReason(gang);
 }
 
-std::string Planner::Impl::WhyNotOnHardware(const Gang& gang) const {
+std::string Planner::Impl::HardwareRefusalReason(const Gang& gang) const {
   const auto key = BorrowKeyOf(gang);
   if (fits_empty_cell_.contains(key)) return {};
-  const auto charges = cell_.ChargesOf(gang.needs);
-  internal::Rooms rooms(cell_.size());
+  const auto charges = cell_.ChargesByType(gang.needs);
+  internal::Offers offers(cell_.size());
   const WorkerSpec* largest = nullptr;
   bool task_fits = false;
   int workers = 0;
@@ -70,7 +70,7 @@
     const auto& worker = cell_.at(it);
     if (!worker.present) continue;
     ++workers;
-    rooms[it].accelerators = worker.capacity;
+    offers[it].accelerators = worker.capacity;
     task_fits |= charges[worker.type] <= worker.capacity;
     if (largest == nullptr || worker.capacity > largest->accelerators) {
       largest = &cell_.spec(it);
@@ -86,7 +86,7 @@
            Plural(largest->cores, "core") + " and " +
            std::to_string(largest->memory_mb) + " MB";
   }
-  if (!Finder().Find(gang, gang.adjacency, rooms).empty()) {
+  if (!MakeFinder().Find(gang, gang.adjacency, offers).empty()) {
     if (fits_empty_cell_.size() >= kMaxCachedShapes) fits_empty_cell_.clear();
     fits_empty_cell_.insert(key);
     return {};
@@ -97,8 +97,8 @@
          Plural(workers, "worker") + " in " + Plural(cell_.racks(), "rack");
 }
 
-std::string Planner::Impl::WhyNotOwn(const Gang& gang) const {
-  const std::string why_not_borrow =
+std::string Planner::Impl::GuaranteeRefusalReason(const Gang& gang) const {
+  const std::string no_borrowing_reason =
       gang.allow_borrowing
           ? "its work can neither be checkpointed nor run again, so it "
             "may not run on capacity that others can reclaim (unless "
@@ -114,7 +114,7 @@
   }
   if (largest == 0) {
     return "organisation " + gang.organisation.str() +
-           " has no guarantee here, and " + why_not_borrow;
+           " has no guarantee here, and " + no_borrowing_reason;
   }
   // Several blocks together can hold a gang that need not be close together.
   const Shape together{total, Adjacency::kDomain};
@@ -124,7 +124,7 @@
   }
   return "needs " + NeedText(gang) + ", which no guarantee of organisation " +
          gang.organisation.str() + " holds (its largest is of " +
-         Plural(largest, "accelerator") + "), and " + why_not_borrow;
+         Plural(largest, "accelerator") + "), and " + no_borrowing_reason;
 }
 
 Explanation Planner::Impl::Explain(const base::JobName& job,
@@ -134,7 +134,7 @@
     return {"unknown job", "this cell does not know the job", 0};
   }
   if (gang->phase == GangPhase::kEvicting) {
-    return {"evicting", gang->reason, 0};
+    return {"evicting", gang->eviction_reason, 0};
   }
   if (gang->phase == GangPhase::kRunning) {
     return {"running",
@@ -153,11 +153,11 @@
   const int position = queue_.PositionOf(
       gang->gang, now,
       [&](const auto& organisation) { return ShareOf(organisation); });
-  return {"queued", WhyWaits(*gang), position};
+  return {"queued", WaitReason(*gang), position};
 }
 
-std::string Planner::Impl::WhyWaits(const GangState& gang) const {
-  if (!WithinLimit(gang)) {
+std::string Planner::Impl::WaitReason(const GangState& gang) const {
+  if (!IsWithinLimit(gang)) {
     const auto& account = accounts_.at(gang.gang.organisation);
     return "organisation " + gang.gang.organisation.str() + " has " +
            std::to_string(account.running) + " of at most " +
@@ -176,7 +176,7 @@
 int Planner::Impl::free_accelerators() const {
   int sum = 0;
   for (const auto& it : cell_.workers()) {
-    if (it.open()) sum += it.capacity - it.used;
+    if (it.schedulable()) sum += it.capacity - it.used;
   }
   return sum;
 }
@@ -184,7 +184,7 @@
 double Planner::Impl::Fragmentation(const Shape& shape) const {
   std::vector<WorkerFreeCapacity> workers;
   for (const auto& it : cell_.workers()) {
-    if (!it.open()) continue;
+    if (!it.schedulable()) continue;
     workers.push_back({.rack = it.rack,
                        .accelerators = it.capacity,
                        .free = it.capacity - it.used});
@@ -214,10 +214,10 @@
     BlockSnapshot block{.organisation = it.organisation,
                         .shape = it.shape,
                         .guaranteed = !it.retiring,
-                        .intact = it.placed() && book_.Intact(it),
-                        .gang_count = it.gangs};
-    for (const auto& piece : it.pieces) {
-      block.parts.push_back({cell_.spec(piece.worker).name, piece.count});
+                        .intact = it.placed() && book_.IsIntact(it),
+                        .gang_count = it.gang_count};
+    for (const auto& part : it.parts) {
+      block.parts.push_back({cell_.spec(part.worker).name, part.count});
     }
     snapshot.blocks.push_back(std::move(block));
   }
--- a/src/placement/planner_places.cc
+++ b/src/placement/planner_places.cc
@@ -15,104 +15,106 @@
 using internal::GangState;
 using internal::Place;
 
-void Planner::Impl::HoldPlace(GangState& gang) {
+void Planner::Impl::AllocatePlace(GangState& gang) {
   for (const auto& it : gang.place) {
     cell_.at(it.worker).used += it.total();
-    on_worker_[it.worker].push_back(&gang);
+    gangs_by_worker_[it.worker].push_back(&gang);
   }
-  PickMasks(gang);
+  AssignAccelerators(gang);
   auto& account = AccountOf(gang.gang.organisation);
   account.running += gang.charge();
   if (gang.borrowed()) account.borrowed += gang.charge();
 }
 
-void Planner::Impl::PickMasks(GangState& gang) {
-  const bool given = !gang.masks.empty();
+void Planner::Impl::AssignAccelerators(GangState& gang) {
+  const bool given = !gang.accelerator_masks.empty();
   std::size_t task = 0;
   for (const auto& slot : gang.place) {
     auto& worker = cell_.at(slot.worker);
     for (int n = 0; n < slot.tasks; ++n, ++task) {
       if (given) {
-        worker.taken |= gang.masks[task];
+        worker.allocated_mask |= gang.accelerator_masks[task];
         continue;
       }
       const auto mask = internal::PickAccelerators(
-          worker.taken, worker.capacity, gang.gang.needs.accelerators);
-      worker.taken |= mask;
-      gang.masks.push_back(mask);
+          worker.allocated_mask, worker.capacity, gang.gang.needs.accelerators);
+      worker.allocated_mask |= mask;
+      gang.accelerator_masks.push_back(mask);
     }
   }
 }
 
-void Planner::Impl::DropPlace(GangState& gang) {
+void Planner::Impl::ReleasePlace(GangState& gang) {
   std::size_t task = 0;
   for (const auto& slot : gang.place) {
     auto& worker = cell_.at(slot.worker);
     worker.used -= slot.total();
     if (gang.phase == GangPhase::kEvicting) worker.evicting -= slot.total();
-    for (int n = 0; n < slot.tasks; ++n) worker.taken &= ~gang.masks[task++];
-    std::erase(on_worker_[slot.worker], &gang);
+    for (int n = 0; n < slot.tasks; ++n) {
+      worker.allocated_mask &= ~gang.accelerator_masks[task++];
+    }
+    std::erase(gangs_by_worker_[slot.worker], &gang);
   }
   auto& account = AccountOf(gang.gang.organisation);
   account.running -= gang.charge();
   if (gang.borrowed()) account.borrowed -= gang.charge();
-  book_.Release(gang.uses);
-  gang.uses.clear();
-  Changed();
+  book_.Release(gang.block_uses);
+  gang.block_uses.clear();
+  IncrementGeneration();
 }
 
 void Planner::Impl::ClaimPlace(GangState& gang) {
   gang.phase = GangPhase::kAwaitingCapacity;
   for (const auto& it : gang.place) {
     cell_.at(it.worker).claimed += it.total();
-    on_worker_[it.worker].push_back(&gang);
+    gangs_by_worker_[it.worker].push_back(&gang);
   }
   AccountOf(gang.gang.organisation).running += gang.charge();
   awaiting_capacity_.push_back(&gang);
 }
 
-void Planner::Impl::DropClaim(GangState& gang) {
+void Planner::Impl::ReleaseClaim(GangState& gang) {
   for (const auto& it : gang.place) {
     cell_.at(it.worker).claimed -= it.total();
-    std::erase(on_worker_[it.worker], &gang);
+    std::erase(gangs_by_worker_[it.worker], &gang);
   }
   AccountOf(gang.gang.organisation).running -= gang.charge();
   std::erase(awaiting_capacity_, &gang);
-  book_.Release(gang.uses);
-  gang.uses.clear();
-  Changed();
+  book_.Release(gang.block_uses);
+  gang.block_uses.clear();
+  IncrementGeneration();
 }
 
-void Planner::Impl::BackToQueue(GangState& gang) {
-  DropClaim(gang);
+void Planner::Impl::ReturnToQueue(GangState& gang) {
+  ReleaseClaim(gang);
   gang.place.clear();
   gang.phase = GangPhase::kQueued;
   queue_.Add(gang.gang);
 }
 
 void Planner::Impl::MakeBorrowed(GangState& gang) {
-  book_.Release(gang.uses);
-  gang.uses.clear();
+  book_.Release(gang.block_uses);
+  gang.block_uses.clear();
   AccountOf(gang.gang.organisation).borrowed += gang.charge();
-  Changed();
+  IncrementGeneration();
 }
 
 bool Planner::Impl::AdoptIntoBlocks(GangState& gang) {
-  const auto& blocks = book_.Of(gang.gang.organisation);
-  gang.uses = UsesFor(gang.place, blocks);
-  if (gang.uses.empty() && CoverWithBlocks(gang)) {
-    gang.uses = UsesFor(gang.place, blocks);
+  const auto& blocks = book_.BlocksOf(gang.gang.organisation);
+  gang.block_uses = BlockUsesFor(gang.place, blocks);
+  if (gang.block_uses.empty() && CoverWithBlocks(gang)) {
+    gang.block_uses = BlockUsesFor(gang.place, blocks);
   }
-  if (gang.uses.empty()) return false;
-  book_.Use(gang.uses);
+  if (gang.block_uses.empty()) return false;
+  book_.Allocate(gang.block_uses);
   AccountOf(gang.gang.organisation).borrowed -= gang.charge();
   return true;
 }
 
 bool Planner::Impl::CoverWithBlocks(const GangState& gang) {
-  const auto blocks = book_.Of(gang.gang.organisation);
-  // Whole in one block: the smallest that can take it, or the free part of one
-  // that is in use.
+  const auto blocks = book_.BlocksOf(gang.gang.organisation);
+  // Covers the whole gang with the smallest sufficient block; of a block in
+  // use, only free parts are moved.
   for (const auto index : blocks) {
     const auto& block = book_.blocks()[index];
     if (block.retiring || !block.placed()) continue;
@@ -122,7 +124,7 @@
       return true;
     }
   }
-  // Worker by worker, over several blocks.
+  // Otherwise covers it worker by worker with several blocks.
   auto rest = gang.place;
   for (auto it = blocks.rbegin(); it != blocks.rend(); ++it) {
     const auto& block = book_.blocks()[*it];
@@ -149,7 +151,7 @@
   return false;
 }
 
-std::vector<BlockUse> Planner::Impl::UsesFor(
+std::vector<BlockUse> Planner::Impl::BlockUsesFor(
     const Place& place, const std::vector<BlockIndex>& blocks) const {
   std::vector<BlockUse> uses;
   for (const auto& slot : place) {
@@ -157,9 +159,9 @@
     for (const auto index : blocks) {
       const auto& block = book_.blocks()[index];
       if (block.retiring) continue;
-      for (const auto& piece : block.pieces) {
-        if (piece.worker != slot.worker) continue;
-        const int n = std::min(need, piece.count - piece.in_use);
+      for (const auto& part : block.parts) {
+        if (part.worker != slot.worker) continue;
+        const int n = std::min(need, part.count - part.in_use);
         if (n <= 0) continue;
         uses.push_back({index, slot.worker, n});
         need -= n;
@@ -171,25 +173,25 @@
 }
 
 void Planner::Impl::RepairBook() {
-  Changed();
+  IncrementGeneration();
   // A gang whose claimed worker was lost goes back to the queue.
   const auto awaiting_capacity = awaiting_capacity_;
   for (auto* it : awaiting_capacity) {
     const bool lost = std::any_of(
         it->place.begin(), it->place.end(),
-        [&](const auto& slot) { return !cell_.at(slot.worker).open(); });
-    if (lost) BackToQueue(*it);
+        [&](const auto& slot) { return !cell_.at(slot.worker).schedulable(); });
+    if (lost) ReturnToQueue(*it);
   }
   book_.Repair();
-  if (has_broken_blocks_) DetachFromBroken();
+  if (has_broken_blocks_) VacateBrokenBlocks();
 }
 
-void Planner::Impl::DetachFromBroken() {
+void Planner::Impl::VacateBrokenBlocks() {
   has_broken_blocks_ = false;
   for (const auto index : book_.BrokenBlocks()) {
     has_broken_blocks_ = true;
-    // Only if the guarantee can then be honoured elsewhere: else its gangs
-    // would lose what is left of it for nothing.
+    // Vacates the block only if its guarantee can then be honoured elsewhere:
+    // otherwise its gangs would lose the rest of the guarantee without benefit.
     auto cell = cell_;
     auto book = book_;
     book.Rebind(cell);
@@ -200,9 +202,9 @@
     };
     const int before = missing(book);
     for (const auto* it : GangsIn(index)) {
-      if (internal::Evictable(it->gang)) book.Release(it->uses);
+      if (internal::IsEvictable(it->gang)) book.Release(it->block_uses);
     }
-    if (book.blocks()[index].in_use()) book.Reissue(index);
+    if (book.blocks()[index].in_use()) book.RetireAndReplace(index);
     book.Repair();
     if (missing(book) >= before) continue;
     VacateBlock(index);
@@ -212,17 +214,17 @@
 
 void Planner::Impl::VacateBlock(BlockIndex block) {
   for (auto* it : GangsIn(block)) {
-    if (internal::Evictable(it->gang)) MakeBorrowed(*it);
+    if (internal::IsEvictable(it->gang)) MakeBorrowed(*it);
   }
-  if (book_.blocks()[block].in_use()) book_.Reissue(block);
+  if (book_.blocks()[block].in_use()) book_.RetireAndReplace(block);
 }
 
 std::vector<GangState*> Planner::Impl::GangsIn(BlockIndex block) const {
   std::vector<GangState*> found;
-  for (const auto& piece : book_.blocks()[block].pieces) {
-    for (auto* it : on_worker_[piece.worker]) {
+  for (const auto& part : book_.blocks()[block].parts) {
+    for (auto* it : gangs_by_worker_[part.worker]) {
       const bool uses =
-          std::any_of(it->uses.begin(), it->uses.end(),
+          std::any_of(it->block_uses.begin(), it->block_uses.end(),
                       [&](const BlockUse& use) { return use.block == block; });
       if (!uses) continue;
       if (std::find(found.begin(), found.end(), it) != found.end()) continue;
@@ -240,7 +242,7 @@
     if (block.vacant || !block.retiring) continue;
     for (auto* it : GangsIn(static_cast<BlockIndex>(i))) {
       if (it->phase != GangPhase::kAwaitingCapacity &&
-          !internal::Evictable(it->gang)) {
+          !internal::IsEvictable(it->gang)) {
         continue;
       }
       if (std::find(gangs.begin(), gangs.end(), it) != gangs.end()) {
@@ -252,13 +254,13 @@
   return gangs;
 }
 
-std::string Planner::Impl::WhyInfeasible(
+std::string Planner::Impl::InfeasibilityReason(
     const std::vector<Guarantee>& guarantees) {
   auto cell = cell_;
   auto book = book_;
   book.Rebind(cell);
-  book.Set(guarantees);
-  for (auto* it : GangsLosingGuarantee(book)) book.Release(it->uses);
+  book.SetGuarantees(guarantees);
+  for (auto* it : GangsLosingGuarantee(book)) book.Release(it->block_uses);
   book.Repair();
   auto shortfalls = book.Shortfalls();
   // Shortfalls that existed before, through lost hardware, do not block a
@@ -286,7 +288,8 @@
   int task = 0;
   for (const auto& slot : gang.place) {
     for (int n = 0; n < slot.tasks; ++n, ++task) {
-      const auto mask = gang.masks.empty() ? 0 : gang.masks[task];
+      const auto mask =
+          gang.accelerator_masks.empty() ? 0 : gang.accelerator_masks[task];
       placement.tasks.push_back({task, cell_.spec(slot.worker).name, mask});
     }
   }
--- a/src/placement/planner_starving.cc
+++ b/src/placement/planner_starving.cc
@@ -1,6 +1,6 @@
-// Reservations for gangs that have waited too long. Nothing here looks at a
-// declared run time: reserved capacity is freed by evicting borrowed work that
-// has run its minimum time, unless that work ends earlier.
+// Reservations for gangs that have waited too long. Declared run times are not
+// used: reserved capacity is freed by evicting borrowed work that has run its
+// minimum time, unless that work ends earlier.
 
 #include <algorithm>
 #include <numeric>
@@ -11,25 +11,27 @@
 namespace lapishatch::placement {
 
 using internal::GangState;
-using internal::Rooms;
+using internal::Offers;
 using internal::WorkerIndex;
 
 namespace {
 
-/// Accelerator seconds of lost work that are accepted for each that was waited.
+/// Accelerator seconds of lost work that are accepted for each accelerator
+/// second of waiting.
 constexpr double kLossPerWait = 0.1;
 
-/// What a second of waiting counts for in normal and in urgent work, so that a
-/// class waits for work of its own as long as its lost seconds weigh.
-constexpr double kNormalWait = 10.0 / 3;
-constexpr double kUrgentWait = 40.0 / 3;
+/// Weights of a second of waiting of normal and of urgent work. Both are the
+/// same fraction of the weight of a lost second, so that a gang waits for work
+/// of its own class in proportion to the seconds that this work loses.
+constexpr double kNormalWaitWeight = 10.0 / 3;
+constexpr double kUrgentWaitWeight = 40.0 / 3;
 
 double WaitWeight(const Gang& gang) {
   switch (gang.work_class) {
     case base::WorkClass::kUrgent:
-      return kUrgentWait;
+      return kUrgentWaitWeight;
     case base::WorkClass::kNormal:
-      return kNormalWait;
+      return kNormalWaitWeight;
     case base::WorkClass::kQuiet:
       return 1;
   }
@@ -39,13 +41,13 @@
 /// Minimum run time before a gang may be stopped for a starving one.
 constexpr base::Duration kMinimumRunTime{600'000};
 
-/// The search for a place to reserve is expensive, and a gang starves only
-/// after minutes.
+/// Interval between searches for a place to reserve: a search is expensive, and
+/// a gang starves only after minutes.
 constexpr base::Duration kReservationInterval{10'000};
 
 }  // namespace
 
-void Planner::Impl::ServeStarving(base::TimePoint now) {
+void Planner::Impl::PlaceStarvingGang(base::TimePoint now) {
   if (!IsReservationValid()) DropReservation();
   GangState* gang = nullptr;
   if (!reservation_.job.empty()) {
@@ -57,12 +59,12 @@
     if (gang == nullptr || !Reserve(*gang, now)) return;
     next_reservation_ = now;
   }
-  const auto done = [&] {
+  const auto finish = [&] {
     queue_.Remove(gang->gang);
     DropReservation();
   };
   if (TryPlace(*gang, now)) {
-    done();
+    finish();
     return;
   }
   const auto eviction_plan =
@@ -80,15 +82,15 @@
                "job " + gang->gang.job.str() +
                    " has waited too long for a place of this size",
                now);
-  done();
+  finish();
 }
 
 GangState* Planner::Impl::OldestStarving(base::TimePoint now) {
   GangState* oldest = nullptr;
-  for (const auto& job : queue_.Heads()) {
+  for (const auto& job : queue_.OldestOfEachKind()) {
     auto* it = FindGang(job);
     if (now - it->queued < options_.starvation_after) continue;
-    if (!internal::MayBorrow(it->gang) || !WithinLimit(*it)) continue;
+    if (!internal::MayBorrow(it->gang) || !IsWithinLimit(*it)) continue;
     if (oldest != nullptr && std::pair(oldest->queued, oldest->gang.job) <=
                                  std::pair(it->queued, it->gang.job)) {
       continue;
@@ -111,15 +113,19 @@
   auto place = CheapestPlace(gang, Victims::kBorrowed, racks, now);
   if (place.empty()) return false;
   reservation_ = {gang.gang.job, std::move(place)};
-  for (const auto& it : reservation_.place) cell_.at(it.worker).held = true;
+  for (const auto& it : reservation_.place) {
+    cell_.at(it.worker).in_reservation = true;
+  }
   return true;
 }
 
 void Planner::Impl::DropReservation() {
   if (reservation_.job.empty()) return;
-  for (const auto& it : reservation_.place) cell_.at(it.worker).held = false;
+  for (const auto& it : reservation_.place) {
+    cell_.at(it.worker).in_reservation = false;
+  }
   reservation_ = {};
-  Changed();
+  IncrementGeneration();
 }
 
 bool Planner::Impl::IsReservationValid() const {
@@ -128,10 +134,10 @@
   if (gang == nullptr || gang->phase != internal::GangPhase::kQueued) {
     return false;
   }
-  // Guaranteed work may have taken what was reserved.
+  // Guaranteed work may have been placed on the reserved capacity.
   return std::all_of(
       reservation_.place.begin(), reservation_.place.end(),
-      [&](const auto& it) { return Stoppable(it.worker) >= it.total(); });
+      [&](const auto& it) { return ReclaimableOn(it.worker) >= it.total(); });
 }
 
 double Planner::Impl::AcceptedLoss(const GangState& gang,
@@ -139,12 +145,12 @@
   // As in the ski-rental problem, the accepted loss is proportional to the time
   // waited, independent of declared run times. The factor grows with the wait,
   // so that every wait ends: work that can't be checkpointed loses more the
-  // longer it runs.
+  // longer it runs, and so the longer it is waited for.
   const double waited =
       std::chrono::duration<double>(now - gang.queued).count();
-  const double patience =
+  const double ageing =
       std::chrono::duration<double>(options_.ageing_after).count();
-  const double growth = std::max(1.0, waited / std::max(patience, 1.0));
+  const double growth = std::max(1.0, waited / std::max(ageing, 1.0));
   return kLossPerWait * growth * waited * WaitWeight(gang.gang) *
          gang.gang.accelerators();
 }
@@ -157,8 +163,8 @@
   // The minimum run time doubles with every eviction, so that each gang
   // eventually runs to its end.
   const int doublings = std::min(gang.evictions, 16);
-  const auto turn = kMinimumRunTime * (1 << doublings);
-  return now - gang.started >= turn;
+  const auto minimum = kMinimumRunTime * (1 << doublings);
+  return now - gang.started >= minimum;
 }
 
 }  // namespace lapishatch::placement
--- a/src/placement/start_failure_tracker.cc
+++ b/src/placement/start_failure_tracker.cc
@@ -23,9 +23,9 @@
   const auto it = by_job_.find(job);
   if (it == by_job_.end()) return false;
   // A worker on which many jobs fail is no evidence against this job.
-  const auto sound =
-      std::count_if(it->second.begin(), it->second.end(), [&](const auto& on) {
-        const auto& jobs = by_worker_.at(on);
+  const auto sound_workers = std::count_if(
+      it->second.begin(), it->second.end(), [&](const auto& worker) {
+        const auto& jobs = by_worker_.at(worker);
         const auto others =
             std::count_if(jobs.begin(), jobs.end(), [&](const auto& other) {
               return other != job && by_job_.at(other).size() <
@@ -34,7 +34,8 @@
         return static_cast<std::size_t>(others) <
                options_.min_jobs_failed_on_worker;
       });
-  return static_cast<std::size_t>(sound) >= options_.min_workers_failed_by_job;
+  return static_cast<std::size_t>(sound_workers) >=
+         options_.min_workers_failed_by_job;
 }
 
 std::size_t StartFailureTracker::CountFailedJobs(
@@ -48,7 +49,8 @@
 
 void StartFailureTracker::RecordStart(const base::JobName& job,
                                       const base::WorkerName& worker) {
-  // The worker can start a job, and the job can start on some worker.
+  // A successful start shows that the worker can start jobs and the job can
+  // start.
   Forget(worker);
   Forget(job);
 }
--- a/src/placement/worker_quarantine.cc
+++ b/src/placement/worker_quarantine.cc
@@ -6,10 +6,10 @@
 
 bool WorkerQuarantine::Add(const base::WorkerName& worker,
                            std::size_t cell_size, base::TimePoint now) {
-  const auto most = std::max<std::size_t>(
+  const auto max_quarantined = std::max<std::size_t>(
       1, static_cast<std::size_t>(options_.max_share *
                                   static_cast<double>(cell_size)));
-  if (quarantined_count_ >= most) return false;
+  if (quarantined_count_ >= max_quarantined) return false;
   const auto [it, added] = entries_.try_emplace(
       worker,
       Entry{base::Backoff(options_.initial_duration, options_.max_duration),
--- a/test/placement/cell_builder.h
+++ b/test/placement/cell_builder.h
@@ -25,8 +25,8 @@
           .memory_mb = accelerators * kShareMb};
 }
 
-/// A gang that can be checkpointed and run again, and needs the share of its
-/// accelerators.
+/// A gang that can be checkpointed and run again, and needs the share of cores
+/// and memory of its accelerators.
 inline Gang MakeGang(const std::string& job, const std::string& organisation,
                      int tasks, int accelerators,
                      Adjacency adjacency = Adjacency::kRack) {
--- a/test/placement/cell_snapshot_test.cc
+++ b/test/placement/cell_snapshot_test.cc
@@ -34,17 +34,17 @@
   return CheckCellInvariant(snapshot).find(problem) != std::string::npos;
 }
 
-TEST_CASE("a sound cell has no problem") {
+TEST_CASE("a valid cell has no violation") {
   CHECK(CheckCellInvariant(ValidCell()) == kNoProblem);
 }
 
-TEST_CASE("work on another's block that is not borrowed is found") {
+TEST_CASE("unborrowed work in another organisation's block is reported") {
   auto snapshot = ValidCell();
   snapshot.gangs[1].placement.borrowed = false;
   CHECK(ReportsProblem(snapshot, "neither borrowed nor in a guaranteed block"));
 }
 
-TEST_CASE("borrowed work that can't be evicted is found") {
+TEST_CASE("borrowed work that can't be evicted is reported") {
   auto snapshot = ValidCell();
   snapshot.gangs[1].gang.checkpointable = false;
   snapshot.gangs[1].gang.idempotent = false;
@@ -53,20 +53,20 @@
   CHECK(CheckCellInvariant(snapshot) == kNoProblem);
 }
 
-TEST_CASE("a guarantee without its block is found") {
+TEST_CASE("a guarantee without its block is reported") {
   auto snapshot = ValidCell();
   snapshot.guarantees[0].count = 2;
   CHECK(ReportsProblem(snapshot, "1 blocks too few"));
 }
 
-TEST_CASE("overlapping blocks are found") {
+TEST_CASE("overlapping blocks are reported") {
   auto snapshot = ValidCell();
   snapshot.guarantees[0].count = 2;
   snapshot.blocks.push_back(snapshot.blocks[0]);
   CHECK(ReportsProblem(snapshot, "overlap on worker w0"));
 }
 
-TEST_CASE("a block of the wrong size, spread or split is found") {
+TEST_CASE("a block with the wrong size or location is reported") {
   auto snapshot = ValidCell();
   snapshot.blocks[0].parts = {{MakeWorker(0).name, 4}};
   CHECK(ReportsProblem(snapshot, "wrong size"));
@@ -78,14 +78,14 @@
   CHECK(ReportsProblem(snapshot, "is on several workers"));
 }
 
-TEST_CASE("an unused block on a worker that takes nothing new is found") {
+TEST_CASE("an unused block on an unreachable worker is reported") {
   auto snapshot = ValidCell();
   snapshot.gangs.erase(snapshot.gangs.begin());
   snapshot.workers[0].health = WorkerHealth::kUnreachable;
-  CHECK(ReportsProblem(snapshot, "is on a worker that takes nothing new"));
+  CHECK(ReportsProblem(snapshot, "is on a worker that accepts no new tasks"));
 }
 
-TEST_CASE("an overfilled worker is found, also one that is to come") {
+TEST_CASE("a worker that is or will be overfilled is reported") {
   auto snapshot = ValidCell();
   auto more = snapshot.gangs[1];
   more.gang.job = base::JobName("more");
@@ -98,10 +98,10 @@
   CHECK(CheckCellInvariant(snapshot) == kNoProblem);
 }
 
-TEST_CASE("a gang in part, or too far apart, is found") {
+TEST_CASE("a gang that is partly placed or violates adjacency is reported") {
   auto snapshot = ValidCell();
   snapshot.gangs[1].gang.tasks = 2;
-  CHECK(ReportsProblem(snapshot, "placed in part"));
+  CHECK(ReportsProblem(snapshot, "only partly placed"));
   snapshot = ValidCell();
   snapshot.gangs[1].gang = MakeGang("borrowed", "fianza", 2, 4);
   snapshot.gangs[1].placement.tasks = {{0, MakeWorker(1).name, 0xf},
@@ -112,7 +112,7 @@
   CHECK(ReportsProblem(snapshot, "on several workers"));
 }
 
-TEST_CASE("two tasks on one accelerator are found") {
+TEST_CASE("two tasks on one accelerator are reported") {
   auto snapshot = ValidCell();
   snapshot.gangs[1].gang = MakeGang("borrowed", "fianza", 2, 4);
   snapshot.gangs[1].placement.tasks = {{0, MakeWorker(1).name, 0x0f},
--- a/test/placement/packing_oracle.h
+++ b/test/placement/packing_oracle.h
@@ -18,11 +18,12 @@
   explicit PackingOracle(const CellSnapshot& snapshot) {
     std::map<base::WorkerName, int> index;
     for (const auto& it : snapshot.workers) {
-      const bool open = it.present && it.health == WorkerHealth::kHealthy;
-      index[it.spec.name] = static_cast<int>(room_.size());
-      room_.push_back(open ? it.spec.accelerators : 0);
-      rack_.push_back(it.spec.rack);
-      size_ = it.spec.accelerators;
+      const bool schedulable =
+          it.present && it.health == WorkerHealth::kHealthy;
+      index[it.spec.name] = static_cast<int>(free_.size());
+      free_.push_back(schedulable ? it.spec.accelerators : 0);
+      racks_.push_back(it.spec.rack);
+      worker_size_ = it.spec.accelerators;
     }
     for (const auto& block : snapshot.blocks) {
       if (block.gang_count == 0) {
@@ -30,7 +31,7 @@
         continue;
       }
       for (const auto& part : block.parts) {
-        room_[index[part.worker]] -= part.accelerators;
+        free_[index[part.worker]] -= part.accelerators;
       }
     }
     std::sort(shapes_.begin(), shapes_.end(),
@@ -44,33 +45,33 @@
   bool PlaceFrom(std::size_t next) {
     if (next == shapes_.size()) return true;
     const auto& shape = shapes_[next];
-    const int whole = shape.accelerators / size_;
-    const int rest = shape.accelerators % size_;
-    return PlacePieces(next, whole, rest, -1);
+    const int whole = shape.accelerators / worker_size_;
+    const int rest = shape.accelerators % worker_size_;
+    return PlaceParts(next, whole, rest, -1);
   }
 
-  /// Places the pieces that are left of one shape, then all further shapes.
+  /// Places the parts that are left of one shape, then all further shapes.
   /// `last` is the last worker used, so that no choice is tried twice.
-  bool PlacePieces(std::size_t next, int whole, int rest, int last) {
+  bool PlaceParts(std::size_t next, int whole, int rest, int last) {
     if (whole == 0 && rest == 0) return PlaceFrom(next + 1);
     const bool domain = shapes_[next].adjacency == Adjacency::kDomain;
-    const int count = whole > 0 ? size_ : rest;
-    const int from = whole > 0 ? last + 1 : 0;
-    for (int i = from; i < static_cast<int>(room_.size()); ++i) {
-      if (room_[i] < count) continue;
-      if (last >= 0 && !domain && rack_[i] != rack_[last]) continue;
-      room_[i] -= count;
-      const bool fits = whole > 0 ? PlacePieces(next, whole - 1, rest, i)
-                                  : PlacePieces(next, 0, 0, i);
-      room_[i] += count;
+    const int count = whole > 0 ? worker_size_ : rest;
+    const int first = whole > 0 ? last + 1 : 0;
+    for (int i = first; i < static_cast<int>(free_.size()); ++i) {
+      if (free_[i] < count) continue;
+      if (last >= 0 && !domain && racks_[i] != racks_[last]) continue;
+      free_[i] -= count;
+      const bool fits = whole > 0 ? PlaceParts(next, whole - 1, rest, i)
+                                  : PlaceParts(next, 0, 0, i);
+      free_[i] += count;
       if (fits) return true;
     }
     return false;
   }
 
-  int size_ = 1;
-  std::vector<int> room_;
-  std::vector<base::RackName> rack_;
+  int worker_size_ = 1;
+  std::vector<int> free_;
+  std::vector<base::RackName> racks_;
   std::vector<Shape> shapes_;
 };
 
--- a/test/placement/history.cc
+++ b/test/placement/planner_simulation.cc
@@ -1,4 +1,4 @@
-#include "history.h"
+#include "planner_simulation.h"
 
 #include <iterator>
 
@@ -27,14 +27,14 @@
              << it.a << ", " << it.b << ", " << it.c << "}";
 }
 
-History::History(int per_rack, int accelerators)
+PlannerSimulation::PlannerSimulation(int per_rack, int accelerators)
     : per_rack_(per_rack), accelerators_(accelerators), planner_({}) {
   for (int i = 0; i < kRacks * per_rack_; ++i) {
     planner_.PutWorker(MakeWorker(i, per_rack_, accelerators_));
   }
 }
 
-std::string History::Play(const Step& step) {
+std::string PlannerSimulation::Apply(const Step& step) {
   switch (step.kind) {
     case StepKind::kSubmit:
       Submit(step);
@@ -49,7 +49,7 @@
       now_ += base::Duration(1000 * (1 + step.a * 300));
       break;
     case StepKind::kConfigure: {
-      const auto wanted = Guarantees(step.a);
+      const auto wanted = MakeGuarantees(step.a);
       if (planner_.SetGuarantees(wanted).empty()) guarantees_ = wanted;
       break;
     }
@@ -65,8 +65,8 @@
       ToggleWorker(step);
       break;
     case StepKind::kForce:
-      lost_ = true;
-      guarantees_ = Guarantees(step.a);
+      shortfalls_allowed_ = true;
+      guarantees_ = MakeGuarantees(step.a);
       planner_.ForceGuarantees(guarantees_);
       break;
     case StepKind::kNewOwner:
@@ -80,7 +80,7 @@
   return Check();
 }
 
-void History::Submit(const Step& step) {
+void PlannerSimulation::Submit(const Step& step) {
   const int size = 1 << (step.b % 4);
   const int tasks = 1 << (step.c % 3);
   auto gang = MakeGang(
@@ -94,7 +94,7 @@
   if (planner_.Submit(gang, now_).empty()) queued_[gang.job] = gang;
 }
 
-void History::End(const Step& step) {
+void PlannerSimulation::End(const Step& step) {
   if (running_.empty()) return;
   const auto it = Nth(running_, step.a);
   const auto gang = it->second.gang;
@@ -104,25 +104,25 @@
   if (again && planner_.Submit(gang, now_).empty()) queued_[gang.job] = gang;
 }
 
-void History::Cancel(const Step& step) {
+void PlannerSimulation::Cancel(const Step& step) {
   if (queued_.empty()) return;
   const auto it = Nth(queued_, step.a);
   planner_.Cancel(it->first);
   queued_.erase(it);
 }
 
-void History::SetHealth(const Step& step) {
+void PlannerSimulation::SetHealth(const Step& step) {
   const int worker = step.a % (kRacks * per_rack_);
   const auto health = static_cast<WorkerHealth>(step.b % 4);
-  if (health != WorkerHealth::kHealthy) lost_ = true;
+  if (health != WorkerHealth::kHealthy) shortfalls_allowed_ = true;
   health_[worker] = health;
   planner_.SetHealth(MakeWorker(worker, per_rack_).name, health);
 }
 
-void History::ToggleWorker(const Step& step) {
+void PlannerSimulation::ToggleWorker(const Step& step) {
   const int worker = step.a % (kRacks * per_rack_);
   const auto spec = MakeWorker(worker, per_rack_, accelerators_);
-  lost_ = true;
+  shortfalls_allowed_ = true;
   removed_[worker] = !removed_[worker];
   if (removed_[worker]) {
     planner_.RemoveWorker(spec.name);
@@ -131,9 +131,9 @@
   }
 }
 
-void History::NewOwner() {
-  // Recovery need not find the same blocks again, so it may fall short.
-  lost_ = true;
+void PlannerSimulation::NewOwner() {
+  // A new owner may place blocks differently, so shortfalls are allowed.
+  shortfalls_allowed_ = true;
   planner_ = Planner({});
   for (int i = 0; i < kRacks * per_rack_; ++i) {
     planner_.PutWorker(MakeWorker(i, per_rack_, accelerators_));
@@ -152,7 +152,7 @@
   for (const auto& [job, gang] : queued_) planner_.Submit(gang, now_);
 }
 
-std::vector<Guarantee> History::Guarantees(int variant) const {
+std::vector<Guarantee> PlannerSimulation::MakeGuarantees(int variant) const {
   const int size = accelerators_;
   const int n = 1 + variant / 4 % 3;
   switch (variant % 4) {
@@ -173,27 +173,28 @@
   }
 }
 
-std::string History::ApplyDecisions(const std::vector<Decision>& decisions) {
+std::string PlannerSimulation::ApplyDecisions(
+    const std::vector<Decision>& decisions) {
   for (const auto& it : decisions) {
     if (const auto* start = std::get_if<StartGang>(&it)) {
       const auto gang = queued_.find(start->job);
-      if (gang == queued_.end()) return "started what does not wait";
+      if (gang == queued_.end()) return "started a gang that is not queued";
       for (const auto& task : start->placement.tasks) {
         const int worker = std::stoi(task.worker.str().substr(1));
         if (removed_[worker]) return "started on a removed worker";
         if (health_[worker] != WorkerHealth::kHealthy) {
-          return "started on a worker that takes nothing new";
+          return "started on a worker that accepts no new tasks";
         }
       }
       running_[start->job] = {gang->second, start->placement, now_};
       queued_.erase(gang);
     } else if (const auto* evict = std::get_if<EvictGang>(&it)) {
       const auto gang = running_.find(evict->job);
-      if (gang == running_.end()) return "evicted what does not run";
+      if (gang == running_.end()) return "evicted a gang that is not running";
       if (gang->second.evicting) return "evicted twice";
       const auto& victim = gang->second.gang;
       if (!victim.checkpointable && !victim.idempotent && !victim.may_be_lost) {
-        return "evicted what can't be evicted";
+        return "evicted a gang that can't be evicted";
       }
       gang->second.evicting = true;
     } else if (const auto* refuse = std::get_if<RefuseGang>(&it)) {
@@ -204,7 +205,7 @@
   return {};
 }
 
-std::string History::Check() const {
+std::string PlannerSimulation::Check() const {
   auto problem = planner_.CheckInvariant();
   if (!problem.empty()) return problem;
   int missing = 0;
@@ -212,9 +213,9 @@
     if (it.gang_count == 0 && it.parts.empty()) ++missing;
   }
   if (missing == 0) return {};
-  if (!lost_) return "a guarantee fell short though no hardware was lost";
+  if (!shortfalls_allowed_) return "a shortfall although no hardware was lost";
   if (PackingOracle(planner_.Snapshot()).Fits()) {
-    return "a guarantee is said to be short, but all fit";
+    return "a shortfall although all guaranteed blocks fit";
   }
   return {};
 }
--- a/test/placement/history.h
+++ b/test/placement/planner_simulation.h
@@ -1,5 +1,5 @@
-#ifndef LAPISHATCH_TEST_PLACEMENT_HISTORY_H_
-#define LAPISHATCH_TEST_PLACEMENT_HISTORY_H_
+#ifndef LAPISHATCH_TEST_PLACEMENT_PLANNER_SIMULATION_H_
+#define LAPISHATCH_TEST_PLACEMENT_PLANNER_SIMULATION_H_
 
 #include <map>
 #include <ostream>
@@ -10,7 +10,7 @@
 
 namespace lapishatch::placement {
 
-/// Kinds of event in a simulated history.
+/// Kinds of simulated events.
 enum class StepKind : std::uint8_t {
   kSubmit,
   kEnd,
@@ -24,8 +24,8 @@
   kNewOwner,
 };
 
-/// One step of a history; the numbers choose among what is there, so that any
-/// numbers make sense and shrinking works.
+/// One simulated event. The numbers select among the existing objects, so that
+/// all values are valid and shrinking works.
 struct Step {
   StepKind kind = StepKind::kSubmit;
   int a = 0;
@@ -37,13 +37,13 @@
 
 /// Applies steps to a planner as a scheduler would, and checks the invariant
 /// after each.
-class History {
+class PlannerSimulation {
  public:
   /// Three racks of `per_rack` workers with `accelerators` each.
-  History(int per_rack, int accelerators);
+  PlannerSimulation(int per_rack, int accelerators);
 
-  /// Returns what is broken after this step, or an empty text.
-  std::string Play(const Step& step);
+  /// Applies a step. Returns a description of the violation, or an empty text.
+  std::string Apply(const Step& step);
 
   const Planner& planner() const { return planner_; }
 
@@ -61,7 +61,7 @@
   void SetHealth(const Step& step);
   void ToggleWorker(const Step& step);
   void NewOwner();
-  std::vector<Guarantee> Guarantees(int variant) const;
+  std::vector<Guarantee> MakeGuarantees(int variant) const;
   std::string ApplyDecisions(const std::vector<Decision>& decisions);
   std::string Check() const;
 
@@ -71,7 +71,7 @@
   base::TimePoint now_{base::Duration(1'000'000)};
   int next_job_ = 0;
   /// Hardware was lost, or guarantees were forced: shortfalls are allowed.
-  bool lost_ = false;
+  bool shortfalls_allowed_ = false;
   std::vector<Guarantee> guarantees_;
   std::map<base::JobName, Gang> queued_;
   std::map<base::JobName, Running> running_;
@@ -81,4 +81,4 @@
 
 }  // namespace lapishatch::placement
 
-#endif  // LAPISHATCH_TEST_PLACEMENT_HISTORY_H_
+#endif  // LAPISHATCH_TEST_PLACEMENT_PLANNER_SIMULATION_H_
--- a/test/placement/planner_test.cc
+++ b/test/placement/planner_test.cc
@@ -11,7 +11,7 @@
 using base::OrganisationName;
 using base::TimePoint;
 
-TEST_CASE("a gang starts whole on free capacity") {
+TEST_CASE("all tasks of a gang start together on free capacity") {
   Planner planner({});
   for (int i = 0; i < 4; ++i) planner.PutWorker(MakeWorker(i));
   const TimePoint now{Duration(1000)};
@@ -48,7 +48,7 @@
   CHECK(planner.CheckInvariant() == kNoProblem);
 }
 
-TEST_CASE("guarantees that do not fit together are refused with the reason") {
+TEST_CASE("guarantees that do not fit together are refused with a reason") {
   Planner planner({});
   for (int i = 0; i < 2; ++i) planner.PutWorker(MakeWorker(i));
   const auto reason = planner.SetGuarantees(
--- a/test/placement/policy_test.cc
+++ b/test/placement/policy_test.cc
@@ -16,7 +16,7 @@
   return planner;
 }
 
-TEST_CASE("the better class starts first, then the smaller share, then age") {
+TEST_CASE("gangs start in order of class, organisation share and age") {
   auto planner = MakeCell(1);
   auto quiet = MakeGang("quiet", "a", 1, 8);
   quiet.work_class = base::WorkClass::kQuiet;
@@ -26,11 +26,11 @@
   planner.Submit(MakeGang("older", "a", 1, 2), At(1));
   planner.Submit(MakeGang("newer", "b", 1, 2), At(2));
   planner.Submit(urgent, At(3));
-  // Organisation "a" has borrowed for its urgent gang, so "b" is before it.
+  // Organisation "a" has borrowed for its urgent gang, so "b" comes first.
   CHECK(StartedJobs(planner.Decide(At(4))) == Jobs{"urgent", "newer", "older"});
 }
 
-TEST_CASE("weights make shares") {
+TEST_CASE("organisation weights determine fair shares") {
   auto planner = MakeCell(1);
   planner.SetOrganisations({{base::OrganisationName("heavy"), 3},
                             {base::OrganisationName("light"), 1}});
@@ -45,7 +45,7 @@
   CHECK(heavy == 6);
 }
 
-TEST_CASE("quiet work ages into better classes") {
+TEST_CASE("quiet work is promoted to higher classes as it ages") {
   auto planner = MakeCell(1);
   planner.Submit(MakeGang("running", "a", 1, 8), At(0));
   planner.Decide(At(0));
@@ -59,7 +59,7 @@
   CHECK(StartedJobs(planner.Decide(At(3 * 3600))) == Jobs{"quiet"});
 }
 
-TEST_CASE("no organisation has more running than its limit") {
+TEST_CASE("running accelerators of an organisation stay within its limit") {
   auto planner = MakeCell(4);
   planner.SetOrganisations({{base::OrganisationName("a"), 1, 12}});
   planner.Submit(MakeGang("first", "a", 1, 8), At(0));
@@ -71,7 +71,7 @@
             .find("may have only 12 running") != std::string::npos);
 }
 
-TEST_CASE("impossible gangs are refused with the reason") {
+TEST_CASE("impossible gangs are refused with a reason") {
   auto planner = MakeCell(4, 2);
   CHECK(planner.Submit(MakeGang("a", "a", 1, 9), At(0))
             .find("the largest worker has 8 accelerators") !=
@@ -92,7 +92,7 @@
   CHECK(planner.Submit(fragile, At(0)).empty());
 }
 
-TEST_CASE("a waiting gang is refused when its cell loses what it needs") {
+TEST_CASE("a queued gang is refused when its cell loses the workers it needs") {
   auto planner = MakeCell(2);
   planner.Submit(MakeGang("first", "a", 2, 8), At(0));
   planner.Submit(MakeGang("second", "a", 2, 8), At(0));
@@ -103,7 +103,8 @@
   CHECK(std::get<RefuseGang>(decisions[0]).job == JobName("second"));
 }
 
-TEST_CASE("what once could run is refused when its cell no longer holds it") {
+TEST_CASE(
+    "a gang that fitted before is refused when the workers have changed") {
   auto planner = MakeCell(2);
   CHECK(planner.Submit(MakeGang("first", "a", 2, 8), At(0)).empty());
   planner.RemoveWorker(MakeWorker(1).name);
@@ -114,7 +115,8 @@
   CHECK_FALSE(planner.Submit(MakeGang("fourth", "a", 2, 8), At(3)).empty());
 }
 
-TEST_CASE("a task that needs more than its share is charged for it") {
+TEST_CASE(
+    "a task that needs more than its share is charged more accelerators") {
   auto planner = MakeCell(1);
   auto gang = MakeGang("a", "a", 1, 1);
   gang.needs.memory_mb = 4 * kShareMb;
@@ -125,7 +127,7 @@
   CHECK(planner.free_accelerators() == 0);
 }
 
-TEST_CASE("work that can't be stopped or repeated is never borrowed") {
+TEST_CASE("work that can't be stopped or repeated never borrows capacity") {
   auto planner = MakeCell(2);
   REQUIRE(planner.SetGuarantees(
               {MakeGuarantee("a", 8, Adjacency::kWorker, 1)}) == kNoProblem);
@@ -156,7 +158,7 @@
   CHECK(planner.CheckInvariant() == kNoProblem);
 }
 
-TEST_CASE("the victim is the one that loses least") {
+TEST_CASE("the gang that loses the least work is evicted") {
   auto planner = MakeCell(2);
   REQUIRE(planner.SetGuarantees({MakeGuarantee("owner", 8, Adjacency::kWorker,
                                                1)}) == kNoProblem);
@@ -172,7 +174,7 @@
   CHECK(EvictedJobs(planner.Decide(At(6000))) == Jobs{"young"});
 }
 
-TEST_CASE("who waits for stops is not overtaken by who comes later") {
+TEST_CASE("a gang that waits for evictions is not overtaken by a later one") {
   auto planner = MakeCell(1);
   REQUIRE(planner.SetGuarantees(
               {MakeGuarantee("first", 4, Adjacency::kWorker, 1),
@@ -193,7 +195,7 @@
   CHECK(StartedJobs(planner.Decide(At(104))) == Jobs{"four"});
 }
 
-TEST_CASE("quiet work that was evicted queues behind what has not run yet") {
+TEST_CASE("evicted quiet work queues behind work that has not run yet") {
   auto planner = MakeCell(1);
   planner.SetGuarantees({MakeGuarantee("owner", 8, Adjacency::kWorker, 1)});
   auto old = MakeGang("old", "a", 1, 8);
@@ -226,7 +228,7 @@
   CHECK(std::get<StartGang>(decisions[0]).placement.borrowed);
 }
 
-TEST_CASE("who waits for stops does not wait for stops ordered later") {
+TEST_CASE("a gang that waits for evictions does not wait for later ones") {
   auto planner = MakeCell(1);
   planner.SetGuarantees({MakeGuarantee("first", 4, Adjacency::kWorker, 1),
                          MakeGuarantee("second", 1, Adjacency::kWorker, 1)});
@@ -266,7 +268,7 @@
   CHECK(planner.CheckInvariant() == kNoProblem);
 }
 
-TEST_CASE("a wave of cancellations frees whole blocks at once") {
+TEST_CASE("many gangs that end together free whole blocks at once") {
   auto planner = MakeCell(8);
   for (int i = 0; i < 64; ++i) {
     planner.Submit(MakeGang("j" + std::to_string(i), "a", 1, 1), At(0));
@@ -279,7 +281,7 @@
   CHECK(StartedJobs(planner.Decide(At(2))) == Jobs{"large"});
 }
 
-TEST_CASE("a starving gang gets its place from gangs that never end") {
+TEST_CASE("a starving gang gets a place from gangs that never end") {
   auto planner = MakeCell(2);
   for (int i = 0; i < 4; ++i) {
     planner.Submit(MakeGang("small" + std::to_string(i), "a", 1, 4), At(0));
@@ -296,13 +298,13 @@
   CHECK(StartedJobs(planner.Decide(At(3005))) == Jobs{"large"});
 }
 
-TEST_CASE("a starving gang finds its place in any rack of a large cell") {
-  // More racks than are looked at in one decision.
+TEST_CASE("a starving gang finds a place in any rack of a large cell") {
+  // More racks than one decision examines.
   constexpr int kWorkers = 4000;
-  for (const int open : {0, 1600, kWorkers - 1}) {
+  for (const int healthy : {0, 1600, kWorkers - 1}) {
     auto planner = MakeCell(kWorkers);
     for (int i = 0; i < kWorkers; ++i) {
-      if (i == open) continue;
+      if (i == healthy) continue;
       planner.SetHealth(MakeWorker(i).name, WorkerHealth::kDraining);
     }
     planner.Submit(MakeGang("small", "a", 1, 4), At(0));
@@ -316,7 +318,7 @@
   }
 }
 
-TEST_CASE("a starving gang gets its place from work that can't be saved") {
+TEST_CASE("a starving gang gets a place from work without checkpoints") {
   auto planner = MakeCell(1);
   auto endless = MakeGang("endless", "a", 1, 8);
   endless.checkpointable = false;
@@ -330,13 +332,13 @@
   CHECK(now < 48 * 3600);
 }
 
-TEST_CASE("two gangs that starve take turns, each longer than the last") {
+TEST_CASE("two starving gangs alternate with increasing run times") {
   auto planner = MakeCell(1);
   planner.Submit(MakeGang("a", "a", 1, 8), At(0));
   planner.Submit(MakeGang("b", "b", 1, 8), At(0));
   std::string running = StartedJobs(planner.Decide(At(0))).front();
-  std::vector<int> turns;
-  int since = 0;
+  std::vector<int> run_times;
+  int started = 0;
   for (int now = 10; now < 40'000; now += 10) {
     for (const auto& it : EvictedJobs(planner.Decide(At(now)))) {
       CHECK(it == running);
@@ -344,13 +346,13 @@
       const auto next = StartedJobs(planner.Decide(At(now)));
       REQUIRE(next.size() == 1);
       running = next.front();
-      turns.push_back(now - since);
-      since = now;
+      run_times.push_back(now - started);
+      started = now;
       planner.Submit(MakeGang(it, it, 1, 8), At(now));
     }
   }
-  REQUIRE(turns.size() >= 6);
-  CHECK(turns.back() >= 4 * turns.front());
+  REQUIRE(run_times.size() >= 6);
+  CHECK(run_times.back() >= 4 * run_times.front());
 }
 
 TEST_CASE("scattered small gangs are moved together for a large one") {
@@ -360,7 +362,7 @@
     planner.Submit(MakeGang(it, "a", 1, 4), At(0));
   }
   planner.Decide(At(0));
-  // One half of each worker comes free.
+  // Frees one half of each worker.
   const auto snapshot = planner.Snapshot();
   std::vector<base::WorkerName> seen;
   for (const auto& it : snapshot.gangs) {
@@ -379,7 +381,7 @@
   CHECK(StartedJobs(planner.Decide(At(1005))).size() == 2);
 }
 
-TEST_CASE("a worker that fills up is relieved of the gang that grew") {
+TEST_CASE("the gang beyond its declared memory is evicted from a full worker") {
   auto planner = MakeCell(1);
   for (const auto* it : {"modest", "greedy"}) {
     auto gang = MakeGang(it, "a", 1, 1);
@@ -397,11 +399,11 @@
   again.needs.memory_mb = 20'000;
   REQUIRE(planner.Submit(again, At(65)).empty());
   planner.Decide(At(66));
-  // It is charged what it was seen to use, not what it declares.
+  // The charge is based on measured, not on declared memory.
   CHECK(planner.free_accelerators() <= 1);
 }
 
-TEST_CASE("a lost worker shows as a shortfall until it is back") {
+TEST_CASE("a lost worker causes a shortfall until it is healthy again") {
   auto planner = MakeCell(2);
   REQUIRE(planner.SetGuarantees(
               {MakeGuarantee("a", 16, Adjacency::kRack, 1)}) == kNoProblem);
--- a/test/placement/quarantine_test.cc
+++ b/test/placement/quarantine_test.cc
@@ -10,7 +10,7 @@
 using base::JobName;
 using base::WorkerName;
 
-TEST_CASE("a worker that fails different jobs is to blame") {
+TEST_CASE("a worker on which different jobs fail is at fault") {
   StartFailureTracker tracker;
   const WorkerName bad("bad");
   CHECK(tracker.RecordFailure(JobName("a"), bad, At(0)) ==
@@ -23,7 +23,7 @@
         FailureCause::kWorker);
 }
 
-TEST_CASE("a job that fails on different workers is to blame, not they") {
+TEST_CASE("a job that fails on different workers is at fault") {
   StartFailureTracker tracker;
   const JobName bad("bad");
   CHECK(tracker.RecordFailure(bad, WorkerName("a"), At(0)) ==
@@ -32,7 +32,8 @@
         FailureCause::kUnknown);
   CHECK(tracker.RecordFailure(bad, WorkerName("c"), At(2)) ==
         FailureCause::kJob);
-  // Its failures count against no worker: two others are not enough.
+  // Failures of a job at fault do not count against workers: two other jobs are
+  // not enough.
   CHECK(tracker.RecordFailure(JobName("x"), WorkerName("a"), At(3)) ==
         FailureCause::kUnknown);
   CHECK(tracker.RecordFailure(JobName("y"), WorkerName("a"), At(4)) ==
@@ -41,7 +42,7 @@
         FailureCause::kWorker);
 }
 
-TEST_CASE("bad workers do not condemn the jobs that meet them") {
+TEST_CASE("failures on faulty workers do not count against jobs") {
   StartFailureTracker tracker;
   for (const std::string worker : {"a", "b", "c"}) {
     for (const std::string job : {"x", "y", "z"}) {
@@ -56,7 +57,7 @@
         FailureCause::kWorker);
 }
 
-TEST_CASE("a start that succeeds clears worker and job; time does too") {
+TEST_CASE("a successful start or the end of the window discards failures") {
   StartFailureTracker tracker;
   const WorkerName worker("w");
   tracker.RecordFailure(JobName("a"), worker, At(0));
@@ -70,7 +71,7 @@
   CHECK(tracker.FailedOn(JobName("a")).empty());
 }
 
-TEST_CASE("quarantine takes a bounded share of the cell") {
+TEST_CASE("quarantine holds a bounded share of the cell") {
   WorkerQuarantine quarantine({});
   for (int i = 0; i < 2; ++i) {
     CHECK(quarantine.Add(MakeWorker(i).name, 10, At(0)));
@@ -81,32 +82,32 @@
   CHECK(quarantine.Add(MakeWorker(2).name, 10, At(0)));
 }
 
-TEST_CASE("quarantine grows each time, with jitter, up to its longest") {
+TEST_CASE("quarantine durations grow, with jitter, up to the maximum") {
   WorkerQuarantine quarantine({});
   const auto worker = MakeWorker(0).name;
   auto now = At(0);
-  std::vector<Duration> spans;
+  std::vector<Duration> durations;
   for (int i = 0; i < 9; ++i) {
     REQUIRE(quarantine.Add(worker, 50, now));
     const auto until = quarantine.NextRelease();
-    spans.push_back(until - now);
+    durations.push_back(until - now);
     CHECK(quarantine.ReleaseExpired(until - Duration(1)).empty());
     now = until;
     REQUIRE(quarantine.ReleaseExpired(now).size() == 1);
     CHECK_FALSE(quarantine.Contains(worker));
   }
-  CHECK(spans.front() <= Duration(60'000));
-  CHECK(spans[4] > spans[0]);
-  CHECK(spans.back() >= Duration(1'800'000));
-  CHECK(spans.back() <= Duration(3'600'000));
-  // After a long time in good health it starts small again.
+  CHECK(durations.front() <= Duration(60'000));
+  CHECK(durations[4] > durations[0]);
+  CHECK(durations.back() >= Duration(1'800'000));
+  CHECK(durations.back() <= Duration(3'600'000));
+  // After a long time out of quarantine the duration is reset.
   now += Duration(7'200'000);
   quarantine.ReleaseExpired(now);
   REQUIRE(quarantine.Add(worker, 50, now));
   CHECK(quarantine.NextRelease() - now <= Duration(60'000));
 }
 
-TEST_CASE("workers that failed together do not come back together") {
+TEST_CASE("workers quarantined together are released at different times") {
   WorkerQuarantine quarantine({});
   for (int i = 0; i < 10; ++i) quarantine.Add(MakeWorker(i).name, 50, At(0));
   std::set<base::TimePoint> releases;
