--- a/bench/job_owner.cc
+++ b/bench/job_owner.cc
@@ -1,7 +1,8 @@
-// What the owner of a service costs in processor time, in virtual time, with
-// real planning and recording against fake workers and a fake store: 350
-// workers at half, once and twice the load of the users' grown deployment, and
-// larger fleets with as much load a worker. The fakes' own time is part of it.
+// Measures the processor time that the owner of a service uses in virtual time,
+// with real planning and recording against fake workers and a fake store. Runs
+// 350 workers at 0.5, 1 and 2 times the load of the users' grown deployment,
+// and larger fleets with the same load per worker. The result includes the
+// processor time of the fakes.
 
 #include <chrono>
 #include <cstdio>
@@ -22,21 +23,21 @@
 
 constexpr const char* kService = "survey";
 
-/// A class of jobs as the users' sheets describe it.
+/// A class of jobs as described in the users' workload data.
 struct JobKind {
-  double per_second = 0;
+  double arrivals_per_second = 0;
   int priority = 0;
   int mean_tasks = 1;
   int run_ms = 0;
   std::int64_t cpu_millis = 0;
   std::int64_t memory_mb = 0;
   bool is_gang = false;
-  int most_accelerators = 1;
+  int max_accelerators = 1;
   double slack_factor = 1;
   int target_latency_ms = 0;
 };
 
-constexpr JobKind kKinds[] = {
+constexpr JobKind kJobKinds[] = {
     {2.07, 1, 13, 8'500, 26'000, 75'000, true, 8, 3.0, 1'000},
     {11.0, 0, 5, 2'500, 7'500, 39'000, true, 8, 1.5, 300},
     {2.54, 2, 39, 6'100, 5'600, 29'000, false, 1, 3.0, 3'000},
@@ -66,10 +67,10 @@
     for (int i = 0; i < workers; ++i) AddWorker(i);
     owner_->Start();
     time_.RunFor(base::Duration(2'000));
-    for (const auto& it : kKinds) Arrive(it);
+    for (const auto& it : kJobKinds) ScheduleArrivals(it);
   }
 
-  /// Processor seconds that `length` of virtual time takes.
+  /// Runs for `length` of virtual time and returns the processor seconds used.
   double Run(base::Duration length) {
     const auto before = ProcessorSeconds();
     time_.RunFor(length);
@@ -85,23 +86,24 @@
   }
 
   void AddWorker(int i) {
-    constexpr int kPerRack = 20;
+    constexpr int kWorkersPerRack = 20;
     WorkerEntry entry;
     entry.name = base::WorkerName("w" + std::to_string(i));
     entry.service = base::ServiceName(kService);
-    entry.rack = base::RackName("r" + std::to_string(i / kPerRack));
+    entry.rack = base::RackName("r" + std::to_string(i / kWorkersPerRack));
     entry.labels = {"a", entry.rack.str()};
     entry.capacity = {64'000, 262'144, 8};
     workers_.Add(entry);
     owner_->PutWorker(entry);
   }
 
-  void Arrive(const JobKind& kind) {
-    std::exponential_distribution<double> pause(kind.per_second * load_);
-    const auto wait = static_cast<std::int64_t>(1'000 * pause(random_));
+  void ScheduleArrivals(const JobKind& kind) {
+    std::exponential_distribution<double> interarrival(
+        kind.arrivals_per_second * load_);
+    const auto wait = static_cast<std::int64_t>(1'000 * interarrival(random_));
     time_.After(base::Duration(wait), [this, &kind] {
       Submit(kind);
-      Arrive(kind);
+      ScheduleArrivals(kind);
     });
   }
 
@@ -123,12 +125,12 @@
     step.prefers_single_rack = step.is_gang && random_() % 10 < 7;
     std::uniform_int_distribution<int> doublings(0, 3);
     const int accelerators =
-        std::min(1 << doublings(random_), kind.most_accelerators);
+        std::min(1 << doublings(random_), kind.max_accelerators);
     step.needs = {kind.cpu_millis, kind.memory_mb, accelerators};
     step.run_time_estimate = base::Duration(kind.run_ms);
     job.steps.push_back(step);
     jobs_[job.name] = job;
-    entry_.Submit(job, [](const jobs::SubmitResult&) {});
+    job_service_.Submit(job, [](const jobs::SubmitResult&) {});
   }
 
   fakes::VirtualTime time_;
@@ -137,18 +139,18 @@
   const double load_;
   base::Random random_{1};
   std::map<base::JobName, jobs::Job> jobs_;
-  jobs::JobService entry_{store_.For("entry")};
+  jobs::JobService job_service_{store_.For("entry")};
   std::unique_ptr<ServiceOwner> owner_;
 };
 
-/// Workers that the load of kKinds is for.
-constexpr int kWorkers = 350;
+/// Number of workers for which the load of kJobKinds is specified.
+constexpr int kBaseWorkers = 350;
 
 void Measure(int workers, double load) {
-  constexpr base::Duration kLength{15'000};
-  Deployment deployment(workers, load * workers / kWorkers);
-  const auto used = deployment.Run(kLength);
-  const auto seconds = std::chrono::duration<double>(kLength).count();
+  constexpr base::Duration kDuration{15'000};
+  Deployment deployment(workers, load * workers / kBaseWorkers);
+  const auto used = deployment.Run(kDuration);
+  const auto seconds = std::chrono::duration<double>(kDuration).count();
   std::printf("job_owner_cores_%d_workers_load_%.1f %.3f cores\n", workers,
               load, used / seconds);
   std::printf("job_owner_running_%d_workers_load_%.1f %zu tasks\n", workers,
@@ -157,7 +159,7 @@
 
 int Main() {
   base::StartBoundedLog("bench", base::Severity::kError);
-  for (const double load : {0.5, 1.0, 2.0}) Measure(kWorkers, load);
+  for (const double load : {0.5, 1.0, 2.0}) Measure(kBaseWorkers, load);
   for (const int workers : {1'100, 3'000, 8'500}) Measure(workers, 1.0);
   return 0;
 }
--- a/test/dispatch/capacity_change_test.cc
+++ b/test/dispatch/capacity_change_test.cc
@@ -33,7 +33,7 @@
                      int n) {
     int out = 0;
     for (int i = 0; i < n; ++i) {
-      out += workers().WhereRuns(TaskOf(job, i)) == worker ? 1 : 0;
+      out += workers().FindWorkerRunning(TaskOf(job, i)) == worker ? 1 : 0;
     }
     return out;
   }
@@ -132,7 +132,7 @@
 TEST_CASE("an unanswered start is not sent again over a reduced capacity") {
   CapacityWorld world(1, 1);
   const auto worker = OwnerWorld::WorkerNameAt(0);
-  world.workers().MakeNextStartLate(worker, Duration(3'600'000));
+  world.workers().DelayNextStart(worker, Duration(3'600'000));
   world.Submit(OwnerWorld::MakeJob("plan", 1, 8));
   world.RunFor(200);
   world.SetCapacity(worker, kHalfCapacity);
--- a/test/dispatch/domain_evacuation_test.cc
+++ b/test/dispatch/domain_evacuation_test.cc
@@ -23,7 +23,7 @@
   constexpr int kRackSize = 4;
   int out = 0;
   for (int i = 0; i < tasks; ++i) {
-    const auto worker = world.workers().WhereRuns(TaskOf(job, i));
+    const auto worker = world.workers().FindWorkerRunning(TaskOf(job, i));
     for (int k = 0; k < kRackSize; ++k) {
       if (worker == OwnerWorld::WorkerNameAt(domain * kRackSize + k)) ++out;
     }
--- a/test/dispatch/owner_random_faults_test.cc
+++ b/test/dispatch/owner_random_faults_test.cc
@@ -140,22 +140,24 @@
         break;
       case 2:
         AddToTrace("cut " + worker.str() + " from " + owner);
-        world_.workers().Cut(owner, worker);
+        world_.workers().Disconnect(owner, worker);
         cuts_.emplace_back(owner, worker);
         break;
       case 3:
         AddToTrace("cut " + worker.str());
-        world_.workers().Cut("", worker);
+        world_.workers().Disconnect("", worker);
         cuts_.emplace_back("", worker);
         break;
       case 4:
-        for (const auto& [from, to] : cuts_) world_.workers().Join(from, to);
+        for (const auto& [from, to] : cuts_) {
+          world_.workers().Reconnect(from, to);
+        }
         cuts_.clear();
         break;
       case 5:
         AddToTrace("delay the next start on " + worker.str());
-        world_.workers().MakeNextStartLate(
-            worker, base::Duration(RandomInt(500, 9'000)));
+        world_.workers().DelayNextStart(worker,
+                                        base::Duration(RandomInt(500, 9'000)));
         break;
       case 6:
         InjectStoreFault(owner);
@@ -204,7 +206,7 @@
     AddToTrace("mend");
     RepairStore();
     world_.SetCostForAll(base::Duration(0));
-    for (const auto& [from, to] : cuts_) world_.workers().Join(from, to);
+    for (const auto& [from, to] : cuts_) world_.workers().Reconnect(from, to);
     for (const auto& it : killed_owners_) world_.StartOwner(it);
     if (has_worker_faults_) RestoreCapacities();
   }
--- a/test/dispatch/owner_test.cc
+++ b/test/dispatch/owner_test.cc
@@ -305,7 +305,7 @@
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("map", 1, 1));
   world.RunFor(1'000);
-  const auto worker = world.workers().WhereRuns(TaskOf("map", 0));
+  const auto worker = world.workers().FindWorkerRunning(TaskOf("map", 0));
   REQUIRE_FALSE(worker.empty());
   // The next owner cannot tell whether the former one is merely cut off from
   // the store and still renews leases at the workers.
@@ -325,8 +325,8 @@
   OwnerWorld world(2, 3);
   world.RunFor(1'000);
   for (int i = 0; i < 3; ++i) {
-    world.workers().MakeNextStartLate(OwnerWorld::WorkerNameAt(i),
-                                      base::Duration(5'000));
+    world.workers().DelayNextStart(OwnerWorld::WorkerNameAt(i),
+                                   base::Duration(5'000));
   }
   world.Submit(OwnerWorld::MakeJob("plan", 6, 2));
   world.RunFor(12'000);
@@ -342,7 +342,8 @@
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 10, 1));
   world.RunFor(1'000);
-  const auto crashed_worker = world.workers().WhereRuns(TaskOf("plan", 0));
+  const auto crashed_worker =
+      world.workers().FindWorkerRunning(TaskOf("plan", 0));
   world.workers().Crash(crashed_worker);
   world.Deregister(crashed_worker);
   world.RunFor(18'000);
@@ -361,10 +362,12 @@
   gang.steps[0].run_time_estimate = base::Duration(4'000);
   world.Submit(gang);
   world.RunFor(500);
-  const auto draining_worker = world.workers().WhereRuns(TaskOf("gang", 0));
+  const auto draining_worker =
+      world.workers().FindWorkerRunning(TaskOf("gang", 0));
   world.Drain(draining_worker, base::Duration(2'000));
   world.RunFor(2'000);
-  CHECK(world.workers().WhereRuns(TaskOf("gang", 0)) != draining_worker);
+  CHECK(world.workers().FindWorkerRunning(TaskOf("gang", 0)) !=
+        draining_worker);
   world.workers().Crash(draining_worker);
   world.Deregister(draining_worker);
   // If the gang were lost with its worker, it would restart 5.9 s later.
@@ -379,7 +382,8 @@
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
   world.RunFor(500);
-  const auto draining_worker = world.workers().WhereRuns(TaskOf("plan", 0));
+  const auto draining_worker =
+      world.workers().FindWorkerRunning(TaskOf("plan", 0));
   world.Drain(draining_worker, base::Duration(1'600));
   world.RunFor(3'000);
   CHECK(world.StateOf("plan") == JobState::kCompleted);
@@ -443,7 +447,8 @@
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
   world.RunFor(500);
-  const auto crashed_worker = world.workers().WhereRuns(TaskOf("plan", 0));
+  const auto crashed_worker =
+      world.workers().FindWorkerRunning(TaskOf("plan", 0));
   world.workers().Crash(crashed_worker);
   world.Deregister(crashed_worker);
   world.RunFor(12'000);
@@ -465,11 +470,11 @@
   job.steps.back().depends_on = {0};
   world.Submit(job);
   world.RunFor(500);
-  const auto cut_off_worker = world.workers().WhereRuns(first_task);
-  world.workers().Cut("", cut_off_worker);
+  const auto cut_off_worker = world.workers().FindWorkerRunning(first_task);
+  world.workers().Disconnect("", cut_off_worker);
   world.RunFor(9'000);
   CHECK(world.workers().starts(first_task) == 2);
-  world.workers().Join("", cut_off_worker);
+  world.workers().Reconnect("", cut_off_worker);
   world.RunFor(2'000);
   CHECK(world.workers().starts(TaskOf("plan", 0, 1)) == 1);
   CHECK(world.workers().violations().empty());
@@ -561,7 +566,8 @@
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
   world.RunFor(500);
-  world.workers().Hang(world.workers().WhereRuns(TaskOf("plan", 0)), true);
+  world.workers().SetHanging(
+      world.workers().FindWorkerRunning(TaskOf("plan", 0)), true);
   world.RunFor(12'000);
   CHECK(world.StateOf("plan") == JobState::kCompleted);
   CHECK(world.workers().starts(TaskOf("plan", 0)) == 2);
@@ -571,7 +577,7 @@
     "a worker that fails every task does not use up the attempts of jobs") {
   OwnerWorld world(1, 4);
   world.RunFor(1'000);
-  world.workers().FailAll(OwnerWorld::WorkerNameAt(0), true);
+  world.workers().SetFailing(OwnerWorld::WorkerNameAt(0), true);
   for (int i = 0; i < 20; ++i) {
     world.Submit(OwnerWorld::MakeJob("job" + std::to_string(i), 2, 2));
     world.RunFor(300);
--- a/test/dispatch/silent_domains_test.cc
+++ b/test/dispatch/silent_domains_test.cc
@@ -59,7 +59,7 @@
   world.RunFor(4'000);
   constexpr int kPerDomain = 4;
   for (int i = 0; i < kPerDomain; ++i) {
-    world.workers().Cut("", OwnerWorld::WorkerNameAt(i));
+    world.workers().Disconnect("", OwnerWorld::WorkerNameAt(i));
   }
   world.RunFor(1'100);
   auto urgent = OwnerWorld::MakeJob("urgent", 20, 8);
--- a/test/dispatch/task_crash_test.cc
+++ b/test/dispatch/task_crash_test.cc
@@ -179,7 +179,7 @@
   for (int i = 0; i < 6; ++i) {
     world.RunFor(40'000);
     REQUIRE(world.workers().IsRunning(task));
-    world.workers().Crash(world.workers().WhereRuns(task));
+    world.workers().Crash(world.workers().FindWorkerRunning(task));
   }
   world.RunFor(10'000);
   CHECK(world.workers().IsRunning(task));
@@ -326,8 +326,7 @@
 TEST_CASE("a crash is counted when the worker carried out the start late") {
   CrashWorld world(1, 4);
   for (int i = 0; i < 4; ++i) {
-    world.workers().MakeNextStartLate(OwnerWorld::WorkerNameAt(i),
-                                      Duration(900));
+    world.workers().DelayNextStart(OwnerWorld::WorkerNameAt(i), Duration(900));
   }
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
   world.RunFor(90'000);
@@ -340,11 +339,11 @@
   world.RunFor(200);
   const auto task = world.CrashingTask("crash");
   for (int i = 0; i < 3; ++i) {
-    const auto worker = world.workers().WhereRuns(task);
+    const auto worker = world.workers().FindWorkerRunning(task);
     if (worker.str().empty()) break;
-    world.workers().Cut("", worker);
+    world.workers().Disconnect("", worker);
     world.RunFor(9'000);
-    world.workers().Join("", worker);
+    world.workers().Reconnect("", worker);
     world.RunFor(400);
   }
   world.RunFor(60'000);
@@ -355,7 +354,7 @@
   CrashWorld world;
   world.Submit(OwnerWorld::MakeJob("crash", 1, 1));
   world.RunFor(1'500);
-  world.Drain(world.workers().WhereRuns(world.CrashingTask("crash")),
+  world.Drain(world.workers().FindWorkerRunning(world.CrashingTask("crash")),
               Duration(20'000));
   world.RunFor(60'000);
   CHECK(world.StateOf("crash") == JobState::kFailed);
--- a/test/dispatch/worker_loss_test.cc
+++ b/test/dispatch/worker_loss_test.cc
@@ -14,7 +14,7 @@
   world.RunFor(1'000);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 8));
   world.RunFor(200);
-  world.workers().Crash(world.workers().WhereRuns(TaskOf("plan", 0)));
+  world.workers().Crash(world.workers().FindWorkerRunning(TaskOf("plan", 0)));
   world.RunFor(9'000);
   const auto text = world.metrics().Render();
   CHECK(text.find("lapishatch_tasks_lost_total{reason=\"lapsed\"} 1") !=
--- a/test/soak/site_process_test.cc
+++ b/test/soak/site_process_test.cc
@@ -4,29 +4,29 @@
 #include <catch2/catch.hpp>
 #include <csignal>
 
-#include "folder.h"
 #include "platform/standin/site_standin.h"
 #include "platform/standin/standin_codec.h"
 #include "scenario/port_range.h"
+#include "temporary_folder.h"
 
 namespace lapishatch::soak {
 namespace {
 
 using base::Duration;
 
-/// One process against the stand-in, which it owns the only service of.
-struct OneProcess {
+/// One process that owns the only service of the stand-in.
+struct SiteProcessFixture {
   boost::asio::io_context io{1};
   const std::unique_ptr<base::EventLoop> loop = base::MakeAsioEventLoop(io);
   fakes::FakeRowStore rows{*loop};
   fakes::FakeTaskWorkers workers{*loop};
   platform::standin::SiteStandin standin{io, rows, workers};
   scenario::PortRange ports{io};
-  const Folder folder;
+  const TemporaryFolder folder;
   SiteProcess process{{"site", kSiteProgram, folder.path(), ports.Next(),
                        ports.Next(), standin.ServeStore("site")}};
 
-  OneProcess() {
+  SiteProcessFixture() {
     jobs::QueueConfiguration configuration;
     configuration.version = 1;
     jobs::Queue queue;
@@ -37,15 +37,15 @@
     configuration.queues.push_back(queue);
     rows.Put("op", "", "config",
              platform::standin::EncodeConfiguration(configuration));
-    process.Keep();
-    RunUntil([this] { return !Holder().empty(); }, Duration(5'000));
+    process.EnsureRunning();
+    RunUntil([this] { return !LeaseHolder().empty(); }, Duration(5'000));
   }
 
-  std::string Holder() const {
+  std::string LeaseHolder() const {
     return rows.ValueOf("owners", "survey", "lease");
   }
 
-  /// Whether it came true, within the limit.
+  /// Runs until the condition holds and returns whether it did within `limit`.
   template <typename Condition>
   bool RunUntil(Condition condition, Duration limit) {
     const auto end = loop->Now() + limit;
@@ -54,24 +54,26 @@
   }
 };
 
-TEST_CASE("a process that stops hands over before it ends") {
-  OneProcess it;
-  REQUIRE(it.Holder().starts_with("site/"));
+TEST_CASE(
+    "a process that receives SIGTERM releases its lease before it exits") {
+  SiteProcessFixture it;
+  REQUIRE(it.LeaseHolder().starts_with("site/"));
   it.process.Signal(SIGTERM, it.loop->Now(), Duration(0));
-  REQUIRE(it.RunUntil([&] { return it.process.Ended().has_value(); },
+  REQUIRE(it.RunUntil([&] { return it.process.ExitCode().has_value(); },
                       Duration(2'500)));
-  CHECK(it.process.Ended() == 0);
-  CHECK(it.Holder() == "-");
+  CHECK(it.process.ExitCode() == 0);
+  CHECK(it.LeaseHolder() == "-");
 }
 
-TEST_CASE("a process that cannot hand over ends within its grace of 3 s") {
-  OneProcess it;
+TEST_CASE(
+    "a process that cannot release its lease exits within its grace of 3 s") {
+  SiteProcessFixture it;
   it.rows.SetFaultForAll(fakes::StoreFault::kSilent);
   it.process.Signal(SIGTERM, it.loop->Now(), Duration(0));
-  REQUIRE(it.RunUntil([&] { return it.process.Ended().has_value(); },
+  REQUIRE(it.RunUntil([&] { return it.process.ExitCode().has_value(); },
                       Duration(2'500)));
-  CHECK(it.process.Ended() == 0);
-  CHECK(it.Holder().starts_with("site/"));
+  CHECK(it.process.ExitCode() == 0);
+  CHECK(it.LeaseHolder().starts_with("site/"));
 }
 
 }  // namespace
--- a/test/soak/folder.h
+++ b/test/soak/temporary_folder.h
@@ -1,5 +1,5 @@
-#ifndef LAPISHATCH_TEST_SOAK_FOLDER_H_
-#define LAPISHATCH_TEST_SOAK_FOLDER_H_
+#ifndef LAPISHATCH_TEST_SOAK_TEMPORARY_FOLDER_H_
+#define LAPISHATCH_TEST_SOAK_TEMPORARY_FOLDER_H_
 
 #include <stdlib.h>
 
@@ -11,17 +11,17 @@
 inline const std::string kSiteProgram =
     std::string(LAPISHATCH_BINARY_DIR) + "/bin/lapishatch-site";
 
-/// A folder for one run's settings and logs, removed at the end.
-class Folder {
+/// A folder for the settings and logs of one run, removed by the destructor.
+class TemporaryFolder {
  public:
-  Folder() {
+  TemporaryFolder() {
     auto name =
         (std::filesystem::temp_directory_path() / "soak-XXXXXX").string();
     if (::mkdtemp(name.data()) != nullptr) path_ = name;
   }
-  ~Folder() { std::filesystem::remove_all(path_); }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  ~TemporaryFolder() { std::filesystem::remove_all(path_); }
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
 
   const std::string& path() const { return path_; }
 
@@ -31,4 +31,4 @@
 
 }  // namespace lapishatch::soak
 
-#endif  // LAPISHATCH_TEST_SOAK_FOLDER_H_
+#endif  // LAPISHATCH_TEST_SOAK_TEMPORARY_FOLDER_H_
--- a/testing/fakes/busy_processor.h
+++ b/testing/fakes/busy_processor.h
@@ -15,21 +15,21 @@
 
 namespace lapishatch::fakes {
 
-/// The processor of one process in virtual time: its tasks run one after
-/// another and each takes time, so that a process with more to do than it
-/// manages falls behind: its timers run late and answers wait to be looked at.
+/// Simulates the processor of one process in virtual time. Tasks run one after
+/// another and each takes time, so an overloaded process falls behind: its
+/// timers run late and answers are processed late.
 class BusyProcessor final : public base::EventLoop {
  public:
   explicit BusyProcessor(VirtualTime& time)
       : state_(std::make_shared<State>(time)) {}
-  ~BusyProcessor() override { state_->is_gone = true; }
+  ~BusyProcessor() override { state_->is_destroyed = true; }
   BusyProcessor(const BusyProcessor&) = delete;
   BusyProcessor& operator=(const BusyProcessor&) = delete;
 
-  /// What each task takes from now on; nothing by default.
+  /// Sets the time that each task takes from now on; 0 by default.
   void SetCost(base::Duration cost) { state_->cost = cost; }
 
-  /// Tasks that are due and have not run yet.
+  /// Number of tasks that are due and have not run yet.
   std::size_t backlog() const { return state_->queue.size(); }
 
   base::TimePoint Now() const override { return state_->time.Now(); }
@@ -41,7 +41,7 @@
   base::TimerId After(base::Duration delay,
                       std::function<void()> task) override {
     const auto id = ++state_->last_id;
-    state_->open.insert(id);
+    state_->pending.insert(id);
     state_->time.After(delay,
                        [state = state_, id, task = std::move(task)]() mutable {
                          state->queue.emplace_back(id, std::move(task));
@@ -50,13 +50,14 @@
     return id;
   }
 
-  void Cancel(base::TimerId timer) override { state_->open.erase(timer); }
+  void Cancel(base::TimerId timer) override { state_->pending.erase(timer); }
 
-  /// `done`, run by this processor when it gets to it.
+  /// Returns a callback that queues `done` on this processor. It does nothing
+  /// after the processor is destroyed.
   template <typename Result>
   std::function<void(Result)> Deferred(std::function<void(Result)> done) {
     return [this, state = state_, done = std::move(done)](Result result) {
-      if (state->is_gone) return;
+      if (state->is_destroyed) return;
       Post([done, result = std::move(result)]() mutable {
         done(std::move(result));
       });
@@ -70,17 +71,17 @@
     VirtualTime& time;
     base::Duration cost{0};
     bool is_busy = false;
-    bool is_gone = false;
+    bool is_destroyed = false;
     base::TimerId last_id = 0;
-    std::set<base::TimerId> open;
+    std::set<base::TimerId> pending;
     std::deque<std::pair<base::TimerId, std::function<void()>>> queue;
   };
 
   static void RunNext(const std::shared_ptr<State>& state) {
-    while (!state->is_gone && !state->queue.empty()) {
+    while (!state->is_destroyed && !state->queue.empty()) {
       auto [id, task] = std::move(state->queue.front());
       state->queue.pop_front();
-      if (state->open.erase(id) == 0) continue;
+      if (state->pending.erase(id) == 0) continue;
       state->is_busy = true;
       task();
       if (state->cost > base::Duration(0)) {
@@ -97,49 +98,49 @@
   const std::shared_ptr<State> state_;
 };
 
-/// Calls to workers that pass one link after each other, each taking time
-/// there, and whose answers wait for their caller's processor.
+/// Sends calls to workers over one link, where they are serialized and each
+/// takes time. Answers are queued on the caller's processor.
 class BusyWorkerPort final : public dispatch::WorkerPort {
  public:
   BusyWorkerPort(VirtualTime& time, BusyProcessor& processor,
                  dispatch::WorkerPort& port)
       : time_(time), processor_(processor), link_(time), port_(port) {}
 
-  /// What each call takes on the link from now on; nothing by default.
+  /// Sets the time that each call takes on the link from now on; 0 by default.
   void SetLinkTime(base::Duration time) { link_.SetCost(time); }
 
   void Start(const dispatch::WorkerAddress& worker, dispatch::StartOrder order,
              base::Duration timeout,
              std::function<void(dispatch::StartResult)> done) override {
-    Carry<dispatch::StartResult>(timeout, std::move(done),
-                                 [this, worker, order, timeout](auto answer) {
-                                   port_.Start(worker, order, timeout, answer);
-                                 });
+    SendOverLink<dispatch::StartResult>(
+        timeout, std::move(done), [this, worker, order, timeout](auto answer) {
+          port_.Start(worker, order, timeout, answer);
+        });
   }
 
   void Stop(const dispatch::WorkerAddress& worker, dispatch::StopOrder order,
             base::Duration timeout,
             std::function<void(dispatch::StopResult)> done) override {
-    Carry<dispatch::StopResult>(timeout, std::move(done),
-                                [this, worker, order, timeout](auto answer) {
-                                  port_.Stop(worker, order, timeout, answer);
-                                });
+    SendOverLink<dispatch::StopResult>(
+        timeout, std::move(done), [this, worker, order, timeout](auto answer) {
+          port_.Stop(worker, order, timeout, answer);
+        });
   }
 
   void Hold(const dispatch::WorkerAddress& worker, dispatch::HoldOrder order,
             base::Duration timeout,
             std::function<void(dispatch::HoldResult)> done) override {
-    Carry<dispatch::HoldResult>(timeout, std::move(done),
-                                [this, worker, order, timeout](auto answer) {
-                                  port_.Hold(worker, order, timeout, answer);
-                                });
+    SendOverLink<dispatch::HoldResult>(
+        timeout, std::move(done), [this, worker, order, timeout](auto answer) {
+          port_.Hold(worker, order, timeout, answer);
+        });
   }
 
  private:
-  /// A call that is given up in its caller's time goes on its way all the same.
+  /// A call that has timed out at its caller is still sent.
   template <typename Result, typename Send>
-  void Carry(base::Duration timeout, std::function<void(Result)> done,
-             Send send) {
+  void SendOverLink(base::Duration timeout, std::function<void(Result)> done,
+                    Send send) {
     auto is_over = std::make_shared<bool>(false);
     const std::function<void(Result)> finish =
         [is_over, done = processor_.Deferred(std::move(done))](Result result) {
@@ -155,7 +156,7 @@
   dispatch::WorkerPort& port_;
 };
 
-/// Calls to the store whose answers wait for their caller's processor.
+/// Forwards calls to the store; answers are queued on the caller's processor.
 class BusyRowStore final : public store::RowStore {
  public:
   BusyRowStore(BusyProcessor& processor, store::RowStore& store)
--- a/testing/fakes/fake_row_store.cc
+++ b/testing/fakes/fake_row_store.cc
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// What a caller waits for an answer that never comes.
+/// Time until a read that is never answered fails.
 constexpr base::Duration kReadTimeout{1'500};
-constexpr base::Duration kFeedSlack{700};
-constexpr base::Duration kLateBy{3'000};
-constexpr base::Duration kMostQueued{1'000};
+constexpr base::Duration kFeedTimeoutMargin{700};
+constexpr base::Duration kLateCommitDelay{3'000};
+constexpr base::Duration kMaxQueueTime{1'000};
 
 }  // namespace
 
@@ -44,7 +44,7 @@
       case StoreFault::kAnswersLost:
       case StoreFault::kLate: {
         const auto when = present == StoreFault::kLate
-                              ? kLateBy
+                              ? kLateCommitDelay
                               : store_.delay + store_.commit_time;
         After(when, [this, transaction] { store_.Apply(transaction); });
         return After(store_.commit_timeout, [done = std::move(done)] {
@@ -54,7 +54,7 @@
       case StoreFault::kNone:
         break;
     }
-    const auto wait = store_.QueueOn(transaction.part);
+    const auto wait = store_.ReserveCommitTime(transaction.part);
     if (!wait) {
       return After(2 * store_.delay, [done = std::move(done)] {
         done(store::NotDone{"too many calls on this part"});
@@ -99,8 +99,9 @@
   void Feed(std::string table, RowVersion after, base::Duration wait,
             std::function<void(RowsFeedResult)> done) override {
     if (Fault() != StoreFault::kNone) {
-      const auto when =
-          Fault() == StoreFault::kBusy ? store_.delay : wait + kFeedSlack;
+      const auto when = Fault() == StoreFault::kBusy
+                            ? store_.delay
+                            : wait + kFeedTimeoutMargin;
       return After(when, [done = std::move(done)] {
         done(store::ReadFailed{"no answer"});
       });
@@ -108,16 +109,16 @@
     auto feed = std::make_shared<WaitingFeed>();
     feed->table = std::move(table);
     feed->after = after;
-    // What is under way when a fault begins has no answer either.
+    // A feed that waits when a fault begins is not answered either.
     feed->done = [this, wait, done = std::move(done)](RowsFeedResult result) {
       if (Fault() != StoreFault::kNone) {
-        return After(wait + kFeedSlack,
+        return After(wait + kFeedTimeoutMargin,
                      [done] { done(store::ReadFailed{"no answer"}); });
       }
       After(store_.delay, [done, result = std::move(result)] { done(result); });
     };
     store_.feeds_.push_back(feed);
-    store_.Wake(feed->table);
+    store_.AnswerFeeds(feed->table);
     After(wait, [this, feed] {
       if (feed->is_answered) return;
       feed->is_answered = true;
@@ -131,8 +132,8 @@
   }
 
   StoreFault TransactionFault() const {
-    const auto of_all = store_.fault_for_transactions_;
-    return of_all != StoreFault::kNone ? of_all : Fault();
+    const auto transaction_fault = store_.fault_for_transactions_;
+    return transaction_fault != StoreFault::kNone ? transaction_fault : Fault();
   }
 
   void After(base::Duration wait, std::function<void()> task) {
@@ -185,14 +186,15 @@
                     [&](const auto& it) { return it.first.table == table; }));
 }
 
-/// How long a transaction on `part` takes that comes now; nothing when too much
-/// waits there.
-std::optional<base::Duration> FakeRowStore::QueueOn(const std::string& part) {
+/// Reserves the execution of a transaction on `part` and returns the time until
+/// it completes, or nullopt if the queue of the part is too long.
+std::optional<base::Duration> FakeRowStore::ReserveCommitTime(
+    const std::string& part) {
   if (!has_part_queues) return commit_time;
   const auto now = time_.Now();
   auto& free_at = part_free_at_[part];
   const auto begin = std::max(now, free_at);
-  if (begin - now > kMostQueued) return std::nullopt;
+  if (begin - now > kMaxQueueTime) return std::nullopt;
   free_at = begin + commit_time;
   return free_at - now;
 }
@@ -220,8 +222,8 @@
     if (rows_.erase(address) == 0) continue;
     history_.push_back({address, "", version_, true});
   }
-  for (const auto& it : transaction.puts) Wake(it.table);
-  for (const auto& it : transaction.removals) Wake(it.table);
+  for (const auto& it : transaction.puts) AnswerFeeds(it.table);
+  for (const auto& it : transaction.removals) AnswerFeeds(it.table);
   return store::RowsCommitted{version_};
 }
 
@@ -257,7 +259,7 @@
   return out;
 }
 
-void FakeRowStore::Wake(const std::string& table) {
+void FakeRowStore::AnswerFeeds(const std::string& table) {
   feeds_.remove_if([](const auto& it) { return it->is_answered; });
   for (const auto& it : feeds_) {
     if (it->table != table) continue;
--- a/testing/fakes/fake_row_store.h
+++ b/testing/fakes/fake_row_store.h
@@ -14,22 +14,23 @@
 
 namespace lapishatch::fakes {
 
-/// What happens to one caller's calls to the store.
+/// Fault injected into the calls of one caller.
 enum class StoreFault {
   kNone,
-  /// Nothing arrives, nothing is answered.
+  /// Requests are lost and never answered.
   kSilent,
-  /// Refused as not done.
+  /// Calls fail as not executed.
   kBusy,
-  /// Transactions are done and their answers lost; reads have no answer.
+  /// Transactions are executed but their answers are lost; reads are never
+  /// answered.
   kAnswersLost,
-  /// Transactions have no answer and are done seconds later, if their
+  /// Transactions are never answered and execute 3 s later, if their
   /// conditions hold then.
   kLate,
 };
 
-/// A store of rows in virtual time, linearizable, with a feed, and with faults
-/// for each caller by itself.
+/// Linearizable in-memory row store in virtual time, with change feeds and
+/// fault injection for each caller.
 class FakeRowStore {
  public:
   explicit FakeRowStore(base::EventLoop& time);
@@ -37,44 +38,49 @@
   FakeRowStore(const FakeRowStore&) = delete;
   FakeRowStore& operator=(const FakeRowStore&) = delete;
 
-  /// The store as `caller` sees it. Valid as long as this object.
+  /// Returns the store client of `caller`, valid as long as this object.
   store::RowStore& For(const std::string& caller);
 
   void SetFault(const std::string& caller, StoreFault fault);
   void SetFaultForAll(StoreFault fault);
-  /// For all callers' transactions; reads and feeds work.
+  /// Applies to the transactions of all callers; reads and feeds work.
   void SetFaultForTransactions(StoreFault fault);
 
-  /// Feeds from before now have no history.
+  /// Discards the change history: feeds from an earlier version fail with
+  /// HistoryGone.
   void DropHistory() { oldest_ = version_; }
 
-  /// Of the last transaction that took effect.
+  /// Version of the last transaction that took effect.
   store::RowVersion version() const { return version_; }
 
-  /// Writes a row as an outside party does.
+  /// Writes a row directly, without a caller, delay or faults.
   void Put(const std::string& table, const std::string& part,
            const std::string& key, const std::string& value);
 
   void Remove(const std::string& table, const std::string& part,
               const std::string& key);
 
-  /// The value of a row, or an empty text.
+  /// Returns the value of a row, or an empty string if it does not exist.
   std::string ValueOf(const std::string& table, const std::string& part,
                       const std::string& key) const;
 
   std::size_t rows_in(const std::string& table) const;
+  /// Number of transactions that were executed, including those that
+  /// conflicted.
   int transactions() const { return transactions_; }
 
-  /// One way between a caller and the store.
+  /// One-way network delay between a caller and the store.
   base::Duration delay{1};
-  /// What a transaction takes.
+  /// Execution time of a transaction.
   base::Duration commit_time{8};
-  /// After so long a transaction that has no answer is given up.
+  /// Time after which an unanswered transaction ends with UnknownOutcome.
   base::Duration commit_timeout{2'000};
-  /// Most rows of one feed's answer; they must be of different transactions.
+  /// Maximum number of rows in one answer of a feed. Rows of one transaction
+  /// must not be split between answers, so a test that reaches the limit must
+  /// write each row in its own transaction.
   std::size_t feed_limit = 500;
-  /// Whether the transactions of one part are done one after another, and
-  /// refused when a second of them waits.
+  /// Whether transactions on the same part execute one after another and are
+  /// refused when the queue of their part exceeds 1 s.
   bool has_part_queues = false;
 
  private:
@@ -88,12 +94,12 @@
     bool is_answered = false;
   };
 
-  std::optional<base::Duration> QueueOn(const std::string& part);
+  std::optional<base::Duration> ReserveCommitTime(const std::string& part);
   store::RowsResult Apply(const store::RowTransaction& transaction);
   store::RowsRead Scan(const store::RowRange& range) const;
   store::RowsFeedResult ChangesOf(const std::string& table,
                                   store::RowVersion after) const;
-  void Wake(const std::string& table);
+  void AnswerFeeds(const std::string& table);
 
   base::EventLoop& time_;
   std::map<store::RowAddress, store::StoredRow> rows_;
--- a/testing/fakes/fake_task_workers.cc
+++ b/testing/fakes/fake_task_workers.cc
@@ -27,8 +27,8 @@
 constexpr Duration kDelay{1};
 constexpr Duration kRunTime{2'000};
 constexpr Duration kStopTime{100};
-constexpr Duration kMostLease{6'000};
-constexpr Duration kGangWait{3'000};
+constexpr Duration kMaxLease{6'000};
+constexpr Duration kGangTimeout{3'000};
 
 std::string TextOf(const TaskName& task) {
   return task.job.str() + '/' + std::to_string(task.step) + '/' +
@@ -47,21 +47,21 @@
   };
   std::vector<FormerCapacity> former_capacities;
   bool is_superseded = false;
-  /// Its clock began at some other moment than others'.
+  /// Workers' clocks differ from each other.
   WorkerClock clock_offset = 0;
   dispatch::Epoch epoch = 0;
   WorkerClock expires = 0;
   std::vector<Run> running;
   std::vector<EndedTask> ended;
   std::uint64_t last_end = 0;
-  /// Ends up to this number came before its lease ran out: they never count as
-  /// acknowledged.
-  std::uint64_t lapsed_end = 0;
-  /// Highest run that ended or was stopped.
-  std::map<TaskName, int> over;
-  std::optional<Duration> next_start_late;
-  bool hangs = false;
-  bool fails = false;
+  /// Number of the last end before the lease expired. Ends up to this number
+  /// never count as acknowledged.
+  std::uint64_t last_lapsed_end = 0;
+  /// Highest run of each task that ended or was stopped.
+  std::map<TaskName, int> highest_ended_run;
+  std::optional<Duration> next_start_delay;
+  bool is_hanging = false;
+  bool is_failing = false;
   struct Waiting {
     std::uint64_t after = 0;
     std::function<void(HoldResult)> answer;
@@ -70,7 +70,8 @@
   std::vector<std::shared_ptr<Waiting>> waiting;
 };
 
-/// Carries orders to workers and answers back, unless they are cut off.
+/// Delivers orders to workers and returns their answers, unless the owner is
+/// disconnected from the worker.
 class FakeTaskWorkers::Port final : public dispatch::WorkerPort {
  public:
   Port(FakeTaskWorkers& workers, std::string owner)
@@ -79,9 +80,9 @@
   void Start(const dispatch::WorkerAddress& address, StartOrder order,
              Duration timeout, std::function<void(StartResult)> done) override {
     auto* worker = workers_.Find(address.name);
-    if (worker != nullptr && worker->next_start_late) {
-      const auto late = *std::exchange(worker->next_start_late, std::nullopt);
-      workers_.time_.After(late, [this, order, name = address.name] {
+    if (worker != nullptr && worker->next_start_delay) {
+      const auto delay = *std::exchange(worker->next_start_delay, std::nullopt);
+      workers_.time_.After(delay, [this, order, name = address.name] {
         auto* it = workers_.Find(name);
         if (it != nullptr && it->is_alive) workers_.Start(*it, order);
       });
@@ -112,22 +113,22 @@
   }
 
  private:
-  template <typename Result, typename Act>
+  template <typename Result, typename Execute>
   void Carry(const WorkerName& name, Duration timeout,
-             std::function<void(Result)> done, Act act) {
-    auto once = std::make_shared<bool>(false);
-    const auto finish = [once, done = std::move(done)](Result result) {
-      if (std::exchange(*once, true)) return;
+             std::function<void(Result)> done, Execute execute) {
+    auto is_finished = std::make_shared<bool>(false);
+    const auto finish = [is_finished, done = std::move(done)](Result result) {
+      if (std::exchange(*is_finished, true)) return;
       done(std::move(result));
     };
     workers_.time_.After(timeout, [finish] { finish(NoAnswer{"timeout"}); });
-    workers_.time_.After(kDelay, [this, name, act, finish] {
+    workers_.time_.After(kDelay, [this, name, execute, finish] {
       auto* worker = workers_.Find(name);
-      if (worker == nullptr || workers_.IsCut(owner_, name)) return;
+      if (worker == nullptr || workers_.IsDisconnected(owner_, name)) return;
       if (worker->is_superseded) return finish(dispatch::OtherLife{});
       if (!worker->is_alive) return;
-      act(*worker, [this, name, finish](Result result) {
-        if (workers_.IsCut(owner_, name)) return;
+      execute(*worker, [this, name, finish](Result result) {
+        if (workers_.IsDisconnected(owner_, name)) return;
         workers_.time_.After(
             kDelay, [finish, result = std::move(result)] { finish(result); });
       });
@@ -145,9 +146,9 @@
 void FakeTaskWorkers::Add(const dispatch::WorkerEntry& entry) {
   auto worker = std::make_unique<Worker>();
   worker->entry = entry;
-  constexpr WorkerClock kBetweenClocks = 77'000;
+  constexpr WorkerClock kClockDistance = 77'000;
   worker->clock_offset =
-      static_cast<WorkerClock>(workers_.size()) * kBetweenClocks;
+      static_cast<WorkerClock>(workers_.size()) * kClockDistance;
   workers_[entry.name] = std::move(worker);
 }
 
@@ -174,9 +175,9 @@
 void FakeTaskWorkers::Crash(const WorkerName& name) {
   auto* worker = Find(name);
   if (!std::exchange(worker->is_alive, false)) return;
-  constexpr int kThirdCrash = 3;
+  constexpr int kCrashLimit = 3;
   for (const auto& it : std::exchange(worker->running, {})) {
-    if (++crashes_[it.task] != kThirdCrash) continue;
+    if (++crashes_[it.task] != kCrashLimit) continue;
     starts_at_third_crash_[it.task] = starts_[it.task];
   }
   if (on_crash) on_crash(name);
@@ -186,30 +187,32 @@
   Find(name)->is_superseded = true;
 }
 
-void FakeTaskWorkers::Cut(const std::string& owner, const WorkerName& name) {
-  cuts_.emplace(owner, name);
+void FakeTaskWorkers::Disconnect(const std::string& owner,
+                                 const WorkerName& name) {
+  disconnected_.emplace(owner, name);
 }
 
-void FakeTaskWorkers::Join(const std::string& owner, const WorkerName& name) {
-  cuts_.erase({owner, name});
+void FakeTaskWorkers::Reconnect(const std::string& owner,
+                                const WorkerName& name) {
+  disconnected_.erase({owner, name});
 }
 
-bool FakeTaskWorkers::IsCut(const std::string& owner,
-                            const WorkerName& name) const {
-  return cuts_.contains({owner, name}) || cuts_.contains({"", name});
+bool FakeTaskWorkers::IsDisconnected(const std::string& owner,
+                                     const WorkerName& name) const {
+  return disconnected_.contains({owner, name}) ||
+         disconnected_.contains({"", name});
 }
 
-void FakeTaskWorkers::MakeNextStartLate(const WorkerName& name,
-                                        Duration delay) {
-  Find(name)->next_start_late = delay;
+void FakeTaskWorkers::DelayNextStart(const WorkerName& name, Duration delay) {
+  Find(name)->next_start_delay = delay;
 }
 
-void FakeTaskWorkers::Hang(const WorkerName& name, bool hangs) {
-  Find(name)->hangs = hangs;
+void FakeTaskWorkers::SetHanging(const WorkerName& name, bool is_hanging) {
+  Find(name)->is_hanging = is_hanging;
 }
 
-void FakeTaskWorkers::FailAll(const WorkerName& name, bool fails) {
-  Find(name)->fails = fails;
+void FakeTaskWorkers::SetFailing(const WorkerName& name, bool is_failing) {
+  Find(name)->is_failing = is_failing;
 }
 
 dispatch::WorkerPort& FakeTaskWorkers::For(const std::string& owner) {
@@ -235,14 +238,15 @@
         return it.task == order.task && it.run == order.run;
       });
   if (same != worker.running.end()) return dispatch::Started{};
-  const auto over = worker.over.find(order.task);
-  if (over != worker.over.end() && order.run <= over->second) {
+  const auto last_ended = worker.highest_ended_run.find(order.task);
+  if (last_ended != worker.highest_ended_run.end() &&
+      order.run <= last_ended->second) {
     return Refused{Refusal::kOldRun};
   }
   if (order.expires < ClockOf(worker)) return Refused{Refusal::kLate};
-  Extend(worker, order.expires);
-  const Run run{order.task, order.run, ++last_id_, Duration(0)};
-  NoteStart(worker, run);
+  ExtendLease(worker, order.expires);
+  const Run run{order.task, order.run, ++last_run_id_, Duration(0)};
+  RecordStart(worker, run);
   worker.running.push_back(run);
   BeginWork(worker, run);
   if (on_start) on_start(worker.entry.name);
@@ -259,19 +263,21 @@
   return dispatch::Started{};
 }
 
-void FakeTaskWorkers::NoteStart(Worker& worker, const Run& run) {
+void FakeTaskWorkers::RecordStart(Worker& worker, const Run& run) {
   ++starts_[run.task];
   CheckRestarts(run.task);
-  if (IsRunning(run.task)) Violate("two runs at once: " + TextOf(run.task));
+  if (IsRunning(run.task)) {
+    AddViolation("two runs at once: " + TextOf(run.task));
+  }
   if (done_.contains(run.task)) {
-    Violate("started after its end: " + TextOf(run.task));
+    AddViolation("started after its end: " + TextOf(run.task));
   }
   if (!needs) return;
-  auto room = CapacityLimit(worker);
-  for (const auto& it : worker.running) room -= needs(it.task);
-  if (!room.Covers(needs(run.task))) {
-    Violate("over capacity: " + TextOf(run.task) + " on " +
-            worker.entry.name.str());
+  auto free_capacity = CapacityLimit(worker);
+  for (const auto& it : worker.running) free_capacity -= needs(it.task);
+  if (!free_capacity.Covers(needs(run.task))) {
+    AddViolation("over capacity: " + TextOf(run.task) + " on " +
+                 worker.entry.name.str());
   }
 }
 
@@ -281,20 +287,21 @@
   if (!may_crash || it == starts_at_third_crash_.end()) return;
   constexpr int kExcessRestarts = 3;
   if (starts_[task] - it->second != kExcessRestarts) return;
-  Violate("restarted after three crashes: " + TextOf(task));
+  AddViolation("restarted after three crashes: " + TextOf(task));
 }
 
-/// A gang's work begins when all its tasks are there.
+/// Starts the work of a run. The run ends with kAlone if the rest of its gang
+/// is not running after kGangTimeout.
 void FakeTaskWorkers::BeginWork(Worker& worker, const Run& run) {
   const auto name = worker.entry.name;
   const int size = gang_size ? gang_size(run.task) : 1;
   if (size > 1) {
-    time_.After(kGangWait, [this, name, run] {
+    time_.After(kGangTimeout, [this, name, run] {
       auto* it = Find(name);
-      const bool waits =
+      const bool is_waiting =
           std::any_of(it->running.begin(), it->running.end(),
                       [&](const Run& other) { return other.id == run.id; });
-      if (!waits || !it->is_alive) return;
+      if (!is_waiting || !it->is_alive) return;
       int present = 0;
       for (const auto& [unused, any] : workers_) {
         if (!any->is_alive) continue;
@@ -308,28 +315,28 @@
       if (present < gang_size(run.task)) EndRun(*it, run.id, EndKind::kAlone);
     });
   }
-  const auto length = run_time ? run_time(run.task) : kRunTime;
+  const auto work_time = run_time ? run_time(run.task) : kRunTime;
   constexpr Duration kFailTime{50};
-  Work(name, run, worker.fails ? kFailTime : length);
+  ContinueWork(name, run, worker.is_failing ? kFailTime : work_time);
 }
 
-/// Does the rest of a run's work, a part at a time; a worker that hangs does
-/// none.
-void FakeTaskWorkers::Work(const WorkerName& name, const Run& run,
-                           Duration left) {
-  constexpr Duration kPart{50};
-  const auto part = std::min(left, kPart);
-  time_.After(part, [this, name, run, left, part] {
+/// Performs the remaining work of a run in slices; a hanging worker makes no
+/// progress.
+void FakeTaskWorkers::ContinueWork(const WorkerName& name, const Run& run,
+                                   Duration left) {
+  constexpr Duration kWorkSlice{50};
+  const auto slice = std::min(left, kWorkSlice);
+  time_.After(slice, [this, name, run, left, slice] {
     auto* it = Find(name);
     const auto present =
         std::find_if(it->running.begin(), it->running.end(),
                      [&run](const Run& other) { return other.id == run.id; });
     if (!it->is_alive || present == it->running.end()) return;
-    if (it->hangs) return Work(name, run, left);
-    present->done += part;
-    if (left > part) return Work(name, run, left - part);
+    if (it->is_hanging) return ContinueWork(name, run, left);
+    present->work_done += slice;
+    if (left > slice) return ContinueWork(name, run, left - slice);
     const auto kind = outcome ? outcome(run.task, run.run) : EndKind::kDone;
-    EndRun(*it, run.id, it->fails ? EndKind::kFailed : kind);
+    EndRun(*it, run.id, it->is_failing ? EndKind::kFailed : kind);
   });
 }
 
@@ -339,7 +346,8 @@
   if (it == worker.running.end()) return;
   const auto run = *it;
   worker.running.erase(it);
-  worker.over[run.task] = std::max(worker.over[run.task], run.run);
+  worker.highest_ended_run[run.task] =
+      std::max(worker.highest_ended_run[run.task], run.run);
   worker.ended.push_back({++worker.last_end, run.task, run.run, kind, ""});
   auto waiting = std::exchange(worker.waiting, {});
   for (const auto& hold : waiting) {
@@ -351,12 +359,13 @@
 StopResult FakeTaskWorkers::Stop(Worker& worker, const StopOrder& order) {
   if (order.epoch < worker.epoch) return Refused{Refusal::kEpoch};
   worker.epoch = order.epoch;
-  worker.over[order.task] = std::max(worker.over[order.task], order.run);
+  worker.highest_ended_run[order.task] =
+      std::max(worker.highest_ended_run[order.task], order.run);
   for (const auto& it : worker.running) {
     if (it.task != order.task || it.run > order.run) continue;
     time_.After(kStopTime, [this, name = worker.entry.name, id = it.id] {
-      auto* still = Find(name);
-      if (still->is_alive) EndRun(*still, id, EndKind::kStopped);
+      auto* found = Find(name);
+      if (found->is_alive) EndRun(*found, id, EndKind::kStopped);
     });
   }
   return dispatch::Stopped{};
@@ -368,11 +377,11 @@
   worker.epoch = order.epoch;
   std::erase_if(worker.ended, [&](const EndedTask& it) {
     if (it.number > order.ends_recorded) return false;
-    const bool counts = it.number > worker.lapsed_end;
+    const bool counts = it.number > worker.last_lapsed_end;
     if (it.kind == EndKind::kDone && counts) done_.insert(it.task);
     return true;
   });
-  if (order.expires) Extend(worker, *order.expires);
+  if (order.expires) ExtendLease(worker, *order.expires);
   if (!worker.ended.empty() || order.wait.count() == 0) {
     return answer(NewsOf(worker, order.ends_recorded));
   }
@@ -391,9 +400,9 @@
   WorkerNews out;
   out.clock = ClockOf(worker);
   for (const auto& it : worker.running) {
-    const auto length = run_time ? run_time(it.task) : kRunTime;
-    constexpr int kWhole = 100;
-    const auto percent = kWhole * it.done.count() / length.count();
+    const auto work_time = run_time ? run_time(it.task) : kRunTime;
+    constexpr int kPercent = 100;
+    const auto percent = kPercent * it.work_done.count() / work_time.count();
     out.running.push_back({it.task, it.run, "", static_cast<int>(percent)});
   }
   for (const auto& it : worker.ended) {
@@ -402,17 +411,18 @@
   return out;
 }
 
-void FakeTaskWorkers::Extend(Worker& worker, WorkerClock expires) {
-  const auto most = ClockOf(worker) + kMostLease.count();
-  worker.expires = std::max(worker.expires, std::min(expires, most));
-  time_.After(Duration(worker.expires - ClockOf(worker)),
-              [this, name = worker.entry.name] { CheckLease(*Find(name)); });
+void FakeTaskWorkers::ExtendLease(Worker& worker, WorkerClock expires) {
+  const auto latest = ClockOf(worker) + kMaxLease.count();
+  worker.expires = std::max(worker.expires, std::min(expires, latest));
+  time_.After(
+      Duration(worker.expires - ClockOf(worker)),
+      [this, name = worker.entry.name] { EndRunsIfLeaseExpired(*Find(name)); });
 }
 
-void FakeTaskWorkers::CheckLease(Worker& worker) {
+void FakeTaskWorkers::EndRunsIfLeaseExpired(Worker& worker) {
   if (!worker.is_alive || ClockOf(worker) < worker.expires) return;
   const auto running = worker.running;
-  worker.lapsed_end = worker.last_end;
+  worker.last_lapsed_end = worker.last_end;
   for (const auto& it : running) EndRun(worker, it.id, EndKind::kLapsed);
 }
 
@@ -423,10 +433,10 @@
 }
 
 bool FakeTaskWorkers::IsRunning(const TaskName& task) const {
-  return !WhereRuns(task).empty();
+  return !FindWorkerRunning(task).empty();
 }
 
-WorkerName FakeTaskWorkers::WhereRuns(const TaskName& task) const {
+WorkerName FakeTaskWorkers::FindWorkerRunning(const TaskName& task) const {
   for (const auto& [name, worker] : workers_) {
     for (const auto& it : worker->running) {
       if (it.task == task) return name;
--- a/testing/fakes/fake_task_workers.h
+++ b/testing/fakes/fake_task_workers.h
@@ -14,9 +14,10 @@
 
 namespace lapishatch::fakes {
 
-/// Workers in virtual time that run tasks as the protocol says: epochs, leases,
-/// capacity that they do not guard, ends that are listed until acknowledged,
-/// gangs that wait for each other. They note whatever must never happen.
+/// Simulates workers in virtual time. They follow the worker protocol: epochs,
+/// leases, ended runs that are reported until acknowledged, and gangs whose
+/// tasks wait for each other. They do not enforce their capacity, but record
+/// every violation of the scheduler's invariants.
 class FakeTaskWorkers {
  public:
   explicit FakeTaskWorkers(base::EventLoop& time);
@@ -24,10 +25,10 @@
   FakeTaskWorkers(const FakeTaskWorkers&) = delete;
   FakeTaskWorkers& operator=(const FakeTaskWorkers&) = delete;
 
-  /// How tasks behave; the defaults run 2 s and end well.
+  /// Behaviour of tasks; by default each runs for 2 s and succeeds.
   std::function<base::Duration(const jobs::TaskName&)> run_time;
   std::function<dispatch::EndKind(const jobs::TaskName&, int run)> outcome;
-  /// Time from the start of a task until it crashes its worker; nothing if it
+  /// Time from the start of a task until it crashes its worker; nullopt if it
   /// does not.
   std::function<std::optional<base::Duration>(const jobs::TaskName&)>
       crash_after;
@@ -35,9 +36,9 @@
   std::function<void(const base::WorkerName&)> on_start;
   /// Called after a worker has crashed.
   std::function<void(const base::WorkerName&)> on_crash;
-  /// What a task takes; without it nothing is checked of capacity.
+  /// Resources that a task uses; if unset, capacity is not checked.
   std::function<jobs::Resources(const jobs::TaskName&)> needs;
-  /// Tasks of the gang that a task belongs to; 1 for none.
+  /// Number of tasks in the gang of a task; 1 if it belongs to no gang.
   std::function<int(const jobs::TaskName&)> gang_size;
 
   void Add(const dispatch::WorkerEntry& entry);
@@ -47,44 +48,46 @@
   void SetCapacity(const base::WorkerName& name,
                    const jobs::Resources& capacity, base::Duration grace);
 
-  /// The worker's process dies with all that it ran, and does not come back.
+  /// Terminates the worker's process with all its tasks; it does not restart.
   void Crash(const base::WorkerName& name);
 
-  /// Makes calls to a crashed worker report that another life answers at its
-  /// address.
+  /// Makes calls to a crashed worker report that a later process (OtherLife)
+  /// answers at its address.
   void Supersede(const base::WorkerName& name);
 
-  /// Orders and answers between `owner` and the worker are lost until Join.
-  /// An empty owner means all.
-  void Cut(const std::string& owner, const base::WorkerName& name);
-  void Join(const std::string& owner, const base::WorkerName& name);
+  /// Drops orders and answers between `owner` and the worker until Reconnect
+  /// is called with the same arguments. An empty owner means all owners.
+  void Disconnect(const std::string& owner, const base::WorkerName& name);
+  void Reconnect(const std::string& owner, const base::WorkerName& name);
 
-  /// The next start at the worker has no answer and is carried out after
-  /// `delay`.
-  void MakeNextStartLate(const base::WorkerName& name, base::Duration delay);
+  /// Executes the next start order to the worker only after `delay` and never
+  /// answers it.
+  void DelayNextStart(const base::WorkerName& name, base::Duration delay);
 
-  /// What runs at the worker, or starts there, gets no further until the other
-  /// call; the worker answers as before.
-  void Hang(const base::WorkerName& name, bool hangs);
+  /// While `is_hanging` is set, tasks on the worker make no progress; the
+  /// worker still answers calls.
+  void SetHanging(const base::WorkerName& name, bool is_hanging);
 
-  /// What starts at the worker fails at once.
-  void FailAll(const base::WorkerName& name, bool fails);
+  /// While `is_failing` is set, tasks that start on the worker fail after
+  /// 50 ms.
+  void SetFailing(const base::WorkerName& name, bool is_failing);
 
-  /// The port of one owner; it outlives this object's use of it.
+  /// Returns the port of one owner, valid as long as this object.
   dispatch::WorkerPort& For(const std::string& owner);
 
-  /// What must never happen and did, in order.
+  /// Violated invariants, in the order in which they were detected.
   const std::vector<std::string>& violations() const { return violations_; }
 
-  /// Tasks that run now, over all workers that live.
+  /// Number of tasks that run now on all workers.
   std::size_t running() const;
   bool IsRunning(const jobs::TaskName& task) const;
-  /// Where it runs, or an empty name.
-  base::WorkerName WhereRuns(const jobs::TaskName& task) const;
+  /// Returns the worker that runs the task, or an empty name.
+  base::WorkerName FindWorkerRunning(const jobs::TaskName& task) const;
+  /// Number of times that the task was started.
   int starts(const jobs::TaskName& task) const;
   /// Number of workers that crashed while running the task.
   int crashes(const jobs::TaskName& task) const;
-  /// Ends that are listed and not acknowledged, on workers that live.
+  /// Number of unacknowledged ended runs on workers that have not crashed.
   std::size_t unacknowledged() const;
 
  private:
@@ -92,47 +95,52 @@
     jobs::TaskName task;
     int run = 0;
     std::uint64_t id = 0;
-    /// Of its work.
-    base::Duration done{0};
+    /// Duration of the work done so far.
+    base::Duration work_done{0};
   };
   struct Worker;
   class Port;
   friend class Port;
 
   Worker* Find(const base::WorkerName& name);
-  bool IsCut(const std::string& owner, const base::WorkerName& name) const;
+  bool IsDisconnected(const std::string& owner,
+                      const base::WorkerName& name) const;
   dispatch::StartResult Start(Worker& worker,
                               const dispatch::StartOrder& order);
   dispatch::StopResult Stop(Worker& worker, const dispatch::StopOrder& order);
   void Hold(Worker& worker, const dispatch::HoldOrder& order,
             std::function<void(dispatch::HoldResult)> answer);
   dispatch::WorkerNews NewsOf(Worker& worker, std::uint64_t after);
-  void Extend(Worker& worker, dispatch::WorkerClock expires);
-  void CheckLease(Worker& worker);
+  void ExtendLease(Worker& worker, dispatch::WorkerClock expires);
+  void EndRunsIfLeaseExpired(Worker& worker);
   void EndRun(Worker& worker, std::uint64_t id, dispatch::EndKind kind);
   void BeginWork(Worker& worker, const Run& run);
-  void Work(const base::WorkerName& name, const Run& run, base::Duration left);
-  void NoteStart(Worker& worker, const Run& run);
+  void ContinueWork(const base::WorkerName& name, const Run& run,
+                    base::Duration left);
+  void RecordStart(Worker& worker, const Run& run);
   /// Limit on starts, per dimension: the largest of the worker's capacity and
   /// the former capacities whose grace period has not ended.
   jobs::Resources CapacityLimit(const Worker& worker) const;
-  /// Detects a task that crashes its workers and is restarted without limit.
+  /// Records a violation when a task that crashes its workers is restarted too
+  /// often after its third crash.
   void CheckRestarts(const jobs::TaskName& task);
   dispatch::WorkerClock ClockOf(const Worker& worker) const;
-  void Violate(std::string what) { violations_.push_back(std::move(what)); }
+  void AddViolation(std::string what) {
+    violations_.push_back(std::move(what));
+  }
 
   base::EventLoop& time_;
   std::map<base::WorkerName, std::unique_ptr<Worker>> workers_;
   std::map<std::string, std::unique_ptr<Port>> ports_;
-  std::set<std::pair<std::string, base::WorkerName>> cuts_;
+  std::set<std::pair<std::string, base::WorkerName>> disconnected_;
   std::map<jobs::TaskName, int> starts_;
   std::map<jobs::TaskName, int> crashes_;
   /// Number of starts of each task at its third crash.
   std::map<jobs::TaskName, int> starts_at_third_crash_;
-  /// Ends "done" that were acknowledged.
+  /// Tasks whose end with kDone was acknowledged.
   std::set<jobs::TaskName> done_;
   std::vector<std::string> violations_;
-  std::uint64_t last_id_ = 0;
+  std::uint64_t last_run_id_ = 0;
 };
 
 }  // namespace lapishatch::fakes
--- a/testing/soak/main.cc
+++ b/testing/soak/main.cc
@@ -27,40 +27,42 @@
 
 namespace fs = std::filesystem;
 
-std::string MakeFolder() {
+std::string MakeTemporaryFolder() {
   auto name = (fs::temp_directory_path() / "lapishatch-soak-XXXXXX").string();
   return ::mkdtemp(name.data()) == nullptr ? std::string() : name;
 }
 
-/// Plays one run and says how it went; false when a promise was broken.
-bool PlayOne(const std::string& program, std::uint64_t seed) {
+/// Performs one run and prints its result; returns false if a guarantee was
+/// violated.
+bool RunOne(const std::string& program, std::uint64_t seed) {
   SoakOptions options;
   options.program = program;
-  options.folder = MakeFolder();
+  options.folder = MakeTemporaryFolder();
   options.seed = seed;
   constexpr int kMsPerSecond = 1'000;
   options.length = base::Duration(absl::GetFlag(FLAGS_seconds) * kMsPerSecond);
   options.processes = absl::GetFlag(FLAGS_processes);
   options.workers = absl::GetFlag(FLAGS_workers);
-  const auto report = PlaySoak(options);
+  const auto report = RunSoak(options);
   std::cout << "seed " << seed << ": " << report.faults << " faults, "
             << report.accepted << " jobs accepted, " << report.refused
             << " refused, " << report.unknown << " unknown, "
-            << report.broken.size() << " promises broken" << std::endl;
-  for (const auto& it : report.broken) std::cout << "  " << it << '\n';
-  if (report.broken.empty() && !absl::GetFlag(FLAGS_keep)) {
+            << report.violations.size() << " promises broken" << std::endl;
+  for (const auto& it : report.violations) std::cout << "  " << it << '\n';
+  if (report.violations.empty() && !absl::GetFlag(FLAGS_keep)) {
     fs::remove_all(options.folder);
   } else {
     std::cout << "  settings and logs: " << options.folder << '\n';
   }
-  return report.broken.empty();
+  return report.violations.empty();
 }
 
 int Main(int argc, char** argv) {
   absl::SetProgramUsageMessage(
       "plays random faults against real processes of lapishatch-site");
   absl::ParseCommandLine(argc, argv);
-  // The tool's own log would only repeat the clients' troubles.
+  // At lower severities, the log of this tool would only repeat the errors of
+  // its clients.
   base::StartBoundedLog("lapishatch-soak", base::Severity::kError);
   auto program = absl::GetFlag(FLAGS_program);
   if (program.empty()) {
@@ -71,7 +73,7 @@
   int bad = 0;
   for (int i = 0; i < absl::GetFlag(FLAGS_runs); ++i) {
     const auto seed = absl::GetFlag(FLAGS_seed) + static_cast<std::uint64_t>(i);
-    if (!PlayOne(program, seed)) ++bad;
+    if (!RunOne(program, seed)) ++bad;
   }
   std::cout << absl::GetFlag(FLAGS_runs) << " runs, " << bad << " bad\n";
   return bad == 0 ? 0 : 1;
--- a/testing/soak/site_process.cc
+++ b/testing/soak/site_process.cc
@@ -25,13 +25,13 @@
       << "address = \"" << http::TextOf(settings_.store) << "\"\n";
 }
 
-void SiteProcess::Keep() {
+void SiteProcess::EnsureRunning() {
   if (process_ && process_->running()) return;
   const auto base = settings_.folder + '/' + settings_.name;
   process_ = std::make_unique<scenario::ChildProcess>(
       settings_.name, std::vector<std::string>{settings_.program},
       base + ".log");
-  // A child has this process's environment as it is at its start.
+  // The child inherits this process's environment at the time of its start.
   ::setenv("LAPISHATCH_SETTINGS", (base + ".toml").c_str(), 1);
   process_->Start();
 }
--- a/testing/soak/site_process.h
+++ b/testing/soak/site_process.h
@@ -11,7 +11,7 @@
 
 namespace lapishatch::soak {
 
-/// What one process is told by its settings file.
+/// Settings of one process, partly written to its settings file.
 struct SiteProcessSettings {
   std::string name;
   std::string program;
@@ -21,25 +21,25 @@
   http::Endpoint store;
 };
 
-/// One lapishatch-site, which is started again whenever it has ended.
+/// One lapishatch-site process, which can be restarted after it has ended.
 class SiteProcess {
  public:
   explicit SiteProcess(SiteProcessSettings settings);
 
-  /// Starts it unless it runs.
-  void Keep();
+  /// Starts the process unless it is running.
+  void EnsureRunning();
 
-  /// Ends or pauses it; it stays down until `Keep` is called after `down` is
-  /// over.
+  /// Sends a signal. EnsureRunningAt does not restart the process until `down`
+  /// has passed.
   void Signal(int number, base::TimePoint now, base::Duration down);
 
-  /// Keeps it up, unless it is to stay down at `now`.
-  void KeepAt(base::TimePoint now) {
-    if (now >= down_until_) Keep();
+  /// Starts the process unless it is running or must stay down at `now`.
+  void EnsureRunningAt(base::TimePoint now) {
+    if (now >= down_until_) EnsureRunning();
   }
 
-  /// Its exit code once it has ended.
-  std::optional<int> Ended() {
+  /// Returns the exit code, or nullopt if the process has not ended.
+  std::optional<int> ExitCode() {
     return process_ ? process_->Ended() : std::nullopt;
   }
 
--- a/testing/soak/soak.cc
+++ b/testing/soak/soak.cc
@@ -12,8 +12,8 @@
 #include "platform/standin/standin_codec.h"
 #include "scenario/port_range.h"
 #include "scenario/relay.h"
-#include "soak/fault_player.h"
-#include "soak/job_callers.h"
+#include "soak/fault_injector.h"
+#include "soak/job_clients.h"
 #include "soak/site_process.h"
 
 namespace lapishatch::soak {
@@ -22,20 +22,20 @@
 namespace asio = boost::asio;
 using base::Duration;
 
-constexpr Duration kBetweenJobs{150};
-constexpr Duration kBetweenAsks{700};
-constexpr Duration kBetweenKeeps{100};
-/// Between two faults, at least and at most.
-constexpr int kLeastPause = 200;
-constexpr int kMostPause = 1'500;
-/// After the last fault each accepted job must end: a lease at a worker (6 s),
-/// a takeover, some failed attempts.
-constexpr Duration kSettle{60'000};
-/// Workers are listed again so often, as their heartbeats do.
-constexpr Duration kHeartbeat{1'000};
-
-/// An io_context with a thread of its own: the relays pass bytes on while the
-/// model's thread waits for them to change.
+constexpr Duration kJobInterval{150};
+constexpr Duration kPollInterval{700};
+constexpr Duration kRestartInterval{100};
+/// Bounds of the pause between two faults, in milliseconds.
+constexpr int kMinFaultPauseMs = 200;
+constexpr int kMaxFaultPauseMs = 1'500;
+/// Time within which each accepted job must end after the last fault. It covers
+/// a worker's lease (6 s), a takeover and some failed attempts.
+constexpr Duration kSettleTime{60'000};
+/// Interval at which workers are registered again, as by their heartbeats.
+constexpr Duration kHeartbeatInterval{1'000};
+
+/// Runs the relays' io_context on its own thread, so that they forward bytes
+/// while the main thread waits for them to change mode.
 class RelayThread {
  public:
   RelayThread() : work_(io_.get_executor()), thread_([this] { io_.run(); }) {}
@@ -54,10 +54,10 @@
   std::thread thread_;
 };
 
-/// One run.
-class Run {
+/// State of one run.
+class SoakRun {
  public:
-  explicit Run(const SoakOptions& options)
+  explicit SoakRun(const SoakOptions& options)
       : options_(options),
         loop_(base::MakeAsioEventLoop(io_)),
         rows_(*loop_),
@@ -79,36 +79,37 @@
     };
   }
 
-  SoakReport Play() {
+  SoakReport Execute() {
     Configure();
     for (int i = 0; i < options_.workers; ++i) AddWorker();
     StartProcesses();
-    Every(kHeartbeat, [this] { ListWorkers(); });
-    Every(kBetweenKeeps, [this] { faults_->KeepProcesses(); });
-    Every(kBetweenAsks, [this] { callers_->AskAll(); });
-    Every(kBetweenJobs, [this] {
-      if (!is_healed_) callers_->HandIn();
+    Every(kHeartbeatInterval, [this] { RegisterWorkers(); });
+    Every(kRestartInterval,
+          [this] { fault_injector_->RestartEndedProcesses(); });
+    Every(kPollInterval, [this] { clients_->PollStates(); });
+    Every(kJobInterval, [this] {
+      if (!is_stopped_) clients_->SubmitJob();
     });
-    PlayFaults();
+    ScheduleFaults();
     loop_->After(options_.length, [this] {
-      is_healed_ = true;
-      faults_->Heal();
+      is_stopped_ = true;
+      fault_injector_->EndAllFaults();
     });
-    const auto end = loop_->Now() + options_.length + kSettle;
-    while (loop_->Now() < end && !(is_healed_ && callers_->AllEnded())) {
-      io_.run_for(kBetweenKeeps);
+    const auto end = loop_->Now() + options_.length + kSettleTime;
+    while (loop_->Now() < end && !(is_stopped_ && clients_->AllJobsEnded())) {
+      io_.run_for(kRestartInterval);
     }
     return Conclude();
   }
 
  private:
   const jobs::Step* StepOf(const jobs::TaskName& task) const {
-    const auto* job = callers_ ? callers_->Find(task.job) : nullptr;
+    const auto* job = clients_ ? clients_->Find(task.job) : nullptr;
     if (job == nullptr) return nullptr;
     return &job->steps[static_cast<std::size_t>(task.step)];
   }
 
-  /// Runs `task` now and again and again.
+  /// Runs `task` now and then periodically.
   void Every(Duration pause, std::function<void()> task) {
     task();
     loop_->After(pause,
@@ -120,11 +121,11 @@
     configuration.version = 1;
     jobs::Queue queue;
     queue.name = jobs::QueueName("queue");
-    queue.host = JobCallers::kHost;
-    queue.path_prefix = JobCallers::kPrefix;
-    queue.service = base::ServiceName(JobCallers::kService);
+    queue.host = JobClients::kHost;
+    queue.path_prefix = JobClients::kPrefix;
+    queue.service = base::ServiceName(JobClients::kService);
     queue.priority = 1;
-    // Faults of workers must not use them up.
+    // High enough that worker faults do not exhaust the attempts.
     queue.max_attempts = 1'000;
     queue.is_public = true;
     configuration.queues.push_back(std::move(queue));
@@ -133,43 +134,43 @@
   }
 
   void AddWorker() {
-    constexpr int kPerRack = 4;
-    const int number = workers_made_++;
+    constexpr int kWorkersPerRack = 4;
+    const int number = workers_created_++;
     SoakWorker worker;
     auto& entry = worker.entry;
     entry.name = base::WorkerName("w" + std::to_string(number));
-    entry.service = base::ServiceName(JobCallers::kService);
+    entry.service = base::ServiceName(JobClients::kService);
     entry.domain = base::DomainName("hall");
     entry.rack = base::RackName(
-        "r" + std::to_string(number % options_.workers / kPerRack));
+        "r" + std::to_string(number % options_.workers / kWorkersPerRack));
     entry.labels = {"a", entry.rack.str()};
     entry.capacity = {64'000, 262'144, 8};
     worker.relay = std::make_shared<scenario::Relay>(
         relays_.io(), standin_.ServeWorker(entry.name));
     entry.endpoint = worker.relay->endpoint();
     model_.Add(entry);
-    List(entry);
+    RegisterWorker(entry);
     workers_.push_back(std::move(worker));
   }
 
-  void List(const dispatch::WorkerEntry& entry) {
+  void RegisterWorker(const dispatch::WorkerEntry& entry) {
     rows_.Put("servers", "", entry.name.str(),
               platform::standin::EncodeWorkerEntry(entry));
   }
 
-  void ListWorkers() {
-    for (const auto& it : workers_) List(it.entry);
+  void RegisterWorkers() {
+    for (const auto& it : workers_) RegisterWorker(it.entry);
   }
 
-  /// The worker leaves after `stays`, told beforehand unless that is nothing;
-  /// another one comes in its place.
+  /// Replaces the worker after `stays`; unless `stays` is 0, the worker first
+  /// announces that it drains.
   void ReplaceWorker(std::size_t index, Duration stays) {
     auto& entry = workers_[index].entry;
     if (entry.is_draining) return;
     entry.is_draining = true;
     if (stays.count() > 0) {
       entry.stays = stays;
-      List(entry);
+      RegisterWorker(entry);
     }
     loop_->After(stays, [this, name = entry.name] { Remove(name); });
   }
@@ -177,10 +178,10 @@
   void Remove(const base::WorkerName& name) {
     model_.Crash(name);
     rows_.Remove("servers", "", name.str());
-    // Its relay stays: a fault of it may have yet to end.
+    // The relay is kept because the end of a fault may still access it.
     for (auto& it : workers_) {
       if (it.entry.name != name) continue;
-      gone_.push_back(it.relay);
+      removed_relays_.push_back(it.relay);
       auto next = std::move(workers_.back());
       workers_.pop_back();
       if (next.entry.name != name) it = std::move(next);
@@ -201,9 +202,9 @@
           store_relays_.back()->endpoint()}));
       fronts.push_back(front);
     }
-    callers_ =
-        std::make_unique<JobCallers>(io_, *loop_, fronts, model_, random_());
-    faults_ = std::make_unique<FaultPlayer>(
+    clients_ =
+        std::make_unique<JobClients>(io_, *loop_, fronts, model_, random_());
+    fault_injector_ = std::make_unique<FaultInjector>(
         *loop_,
         FaultTargets{processes_, store_relays_, workers_, rows_, model_,
                      [this](std::size_t index, Duration stays) {
@@ -212,19 +213,20 @@
         random_());
   }
 
-  void PlayFaults() {
-    std::uniform_int_distribution<int> pause(kLeastPause, kMostPause);
+  void ScheduleFaults() {
+    std::uniform_int_distribution<int> pause(kMinFaultPauseMs,
+                                             kMaxFaultPauseMs);
     loop_->After(Duration(pause(random_)), [this] {
-      faults_->Play();
-      if (!is_healed_) PlayFaults();
+      fault_injector_->InjectFault();
+      if (!is_stopped_) ScheduleFaults();
     });
   }
 
   SoakReport Conclude() {
     SoakReport out;
-    out.broken = model_.violations();
-    callers_->Conclude(out);
-    out.faults = faults_->played();
+    out.violations = model_.violations();
+    clients_->AddResults(out);
+    out.faults = fault_injector_->faults_begun();
     return out;
   }
 
@@ -238,17 +240,19 @@
   base::Random random_;
   RelayThread relays_;
   std::vector<std::unique_ptr<scenario::Relay>> store_relays_;
-  std::vector<std::shared_ptr<scenario::Relay>> gone_;
+  std::vector<std::shared_ptr<scenario::Relay>> removed_relays_;
   std::vector<SoakWorker> workers_;
-  int workers_made_ = 0;
+  int workers_created_ = 0;
   std::vector<std::unique_ptr<SiteProcess>> processes_;
-  std::unique_ptr<JobCallers> callers_;
-  std::unique_ptr<FaultPlayer> faults_;
-  bool is_healed_ = false;
+  std::unique_ptr<JobClients> clients_;
+  std::unique_ptr<FaultInjector> fault_injector_;
+  bool is_stopped_ = false;
 };
 
 }  // namespace
 
-SoakReport PlaySoak(const SoakOptions& options) { return Run(options).Play(); }
+SoakReport RunSoak(const SoakOptions& options) {
+  return SoakRun(options).Execute();
+}
 
 }  // namespace lapishatch::soak
--- a/testing/soak/soak.h
+++ b/testing/soak/soak.h
@@ -12,40 +12,41 @@
 struct SoakOptions {
   /// The program under test, lapishatch-site.
   std::string program;
-  /// Where settings and logs of the processes go.
+  /// Folder for the settings and logs of the processes.
   std::string folder;
   std::uint64_t seed = 1;
-  /// For how long jobs come and faults begin.
+  /// How long jobs are submitted and faults begin.
   base::Duration length{15'000};
   int processes = 4;
   int workers = 12;
 };
 
 struct SoakReport {
-  /// Promises that were broken, in order; empty for a good run.
-  std::vector<std::string> broken;
+  /// Violated guarantees, in order; empty for a successful run.
+  std::vector<std::string> violations;
   int accepted = 0;
   int refused = 0;
-  /// Neither accepted nor refused, as far as their callers were told.
+  /// Jobs that were neither accepted nor definitely refused.
   int unknown = 0;
   int faults = 0;
 };
 
-/// Plays one random run of real processes against the platform's stand-in:
-/// callers hand in, ask for and cancel jobs while processes are stopped,
-/// paused, killed and restarted by signals, their ways to the store and to
-/// workers are cut, silenced and reset by relays, the store loses answers,
-/// carries writes out late, is busy and forgets its history, and workers hang,
-/// fail, leave and crash. Checks what callers and workers see:
+/// Performs one random run of real processes against the platform's stand-in.
+/// Clients submit, poll and cancel jobs under these faults: signals stop,
+/// pause, kill and restart processes; relays cut, silence and reset the
+/// connections to the store and to workers; the store loses answers, executes
+/// writes late, is busy and discards its history; workers hang, fail, leave and
+/// crash. Checks these guarantees as seen by clients and workers:
 ///
-/// - no task runs twice at once, after an acknowledged good end, or over a
-///   worker's room;
-/// - a job whose caller was always told that it has not run never runs;
-/// - an accepted job is known to whoever asks, and ends;
-/// - a completed job's tasks have run, and a cancelled one's are gone.
+/// - no task runs twice at once, after an acknowledged successful end, or
+///   beyond the capacity of a worker;
+/// - a job never runs if all its submissions were refused as not executed;
+/// - an accepted job is visible to all clients, and ends;
+/// - the tasks of a completed job have run, and those of a cancelled one no
+///   longer run.
 ///
-/// The same seed gives the same jobs and faults; real time decides the rest.
-SoakReport PlaySoak(const SoakOptions& options);
+/// The same seed gives the same jobs and faults; all else depends on real time.
+SoakReport RunSoak(const SoakOptions& options);
 
 }  // namespace lapishatch::soak
 
