--- a/testing/fakes/fake_row_store.h
+++ b/testing/fakes/fake_row_store.h
@@ -14,7 +14,7 @@
 
 namespace lapishatch::fakes {
 
-/// Fault injected into the calls of one caller.
+/// Fault injected into the calls of one caller or of all callers.
 enum class StoreFault {
   kNone,
   /// Requests are lost and never answered.
--- a/testing/fakes/fake_task_workers.h
+++ b/testing/fakes/fake_task_workers.h
@@ -68,8 +68,8 @@
   /// worker still answers calls.
   void SetHanging(const base::WorkerName& name, bool is_hanging);
 
-  /// While `is_failing` is set, tasks that start on the worker fail after
-  /// 50 ms.
+  /// While `is_failing` is set, runs that finish their work on the worker fail,
+  /// and runs that start there finish after 50 ms.
   void SetFailing(const base::WorkerName& name, bool is_failing);
 
   /// Returns the port of one owner, valid as long as this object.
@@ -121,8 +121,8 @@
   /// Limit on starts, per dimension: the largest of the worker's capacity and
   /// the former capacities whose grace period has not ended.
   jobs::Resources CapacityLimit(const Worker& worker) const;
-  /// Records a violation when a task that crashes its workers is restarted too
-  /// often after its third crash.
+  /// Records a violation when a task that crashes its workers is started three
+  /// more times after its third crash.
   void CheckRestarts(const jobs::TaskName& task);
   dispatch::WorkerClock ClockOf(const Worker& worker) const;
   void AddViolation(std::string what) {
--- a/testing/soak/soak.h
+++ b/testing/soak/soak.h
@@ -40,7 +40,7 @@
 ///
 /// - no task runs twice at once, after an acknowledged successful end, or
 ///   beyond the capacity of a worker;
-/// - a job never runs if all its submissions were refused as not executed;
+/// - a job never runs if each of its submissions was reported as not executed;
 /// - an accepted job is visible to all clients, and ends;
 /// - the tasks of a completed job have run, and those of a cancelled one no
 ///   longer run.
