--- a/src/dispatch/internal/recorder.h
+++ b/src/dispatch/internal/recorder.h
@@ -15,22 +15,22 @@
 namespace lapishatch::dispatch::internal {
 
 struct RecorderOptions {
-  /// Between two transactions: a part takes 150 a second, shared with what
-  /// entries accept, and each is priced.
+  /// Least time between two transactions. A partition accepts 150 a second,
+  /// shared with the jobs that entries accept, and each transaction is billed.
   base::Duration min_write_interval{15};
   base::Duration initial_backoff{50};
   base::Duration max_backoff{400};
 };
 
-/// Writes the progress of the dirty jobs of one part, those that are due in one
-/// transaction and one transaction at a time, each on condition that the part's
-/// fence row and the jobs' progress rows are unchanged. So nothing of a former
-/// owner, and no late copy of an earlier transaction, can overwrite what came
-/// after.
+/// Writes the progress of the dirty jobs of one partition. Jobs that are due
+/// share a transaction, and only one transaction is in flight. Each requires
+/// that the partition's fence row and the jobs' progress rows are unchanged, so
+/// that neither a former owner nor a delayed copy of an earlier transaction can
+/// overwrite newer rows.
 class Recorder {
  public:
-  /// `fence` is the version of the part's fence row; `on_lost` is called when
-  /// the row shows another owner.
+  /// `fence_version` is the version of the partition's fence row; `on_lost` is
+  /// called when the row shows another owner.
   Recorder(base::EventLoop& loop, store::RowStore& store, std::string partition,
            int partition_index, store::RowVersion fence_version, JobBook& book,
            RecorderOptions options,
@@ -39,11 +39,12 @@
   Recorder(const Recorder&) = delete;
   Recorder& operator=(const Recorder&) = delete;
 
-  /// Writes what is dirty when it is due. Called after each change of the book.
+  /// Schedules a write of the dirty jobs for when they are due. To be called
+  /// after each change of the book.
   void ScheduleWrite();
 
-  /// Calls `done` once what is known now of `jobs`, all of this part, stands in
-  /// the store; soon when it does already.
+  /// Calls `done` once the present state of `jobs`, all of this partition, is
+  /// in the store; if it already is, in a later turn of the event loop.
   void WhenRecorded(const std::vector<base::JobName>& jobs,
                     std::function<void()> done);
 
--- a/src/dispatch/internal/service_loader.h
+++ b/src/dispatch/internal/service_loader.h
@@ -14,16 +14,16 @@
 
 namespace lapishatch::dispatch::internal {
 
-/// What a new owner finds in the store.
+/// The state of a service that a new owner reads from the store.
 struct LoadedService {
-  /// Versions of the fence rows, by part.
+  /// Versions of the fence rows, by partition.
   std::vector<store::RowVersion> fence_versions;
   std::map<base::JobName, store::StoredRow> progress_rows;
 };
 
-/// Fences off former owners in every part of a service and then reads what they
-/// recorded there, all parts at once. Goes on until it is done or another owner
-/// is seen.
+/// Fences off former owners in every partition of a service, then reads the
+/// progress that they recorded there, several partitions in parallel. Retries
+/// until it has read everything or finds a later owner.
 class ServiceLoader {
  public:
   ServiceLoader(base::EventLoop& loop, store::RowStore& store,
--- a/src/dispatch/internal/silent_domains.h
+++ b/src/dispatch/internal/silent_domains.h
@@ -8,27 +8,29 @@
 
 namespace lapishatch::dispatch::internal {
 
-/// How the polls of one worker stand.
+/// State of the polls of one worker.
 struct PollState {
   base::DomainName domain;
-  /// When it answered last.
+  /// Time of its last answer.
   base::TimePoint last_answer{};
-  /// When its next answer was due first; the maximum while none is under way.
+  /// When its next answer was first due; the maximum while no poll is in
+  /// flight.
   base::TimePoint answer_due = base::TimePoint::max();
 };
 
 struct SilentDomainOptions {
-  /// An answer that is late by more counts as missing.
+  /// An answer that is late by more than this counts as missing.
   base::Duration answer_grace{150};
-  /// So many workers must miss theirs: single ones crash.
+  /// Least number of workers with a missing answer: single workers may have
+  /// crashed.
   int min_missing = 3;
 };
 
-/// Failure domains that are cut off, as the polls of their workers show: since
-/// the last answer from the domain several were due and did not come, while
-/// other domains answered. Known long before each of its workers is missed by
-/// itself. An owner that is late itself hears no domain and finds none silent.
-/// Costs one pass over `polls`.
+/// Finds failure domains that are partitioned from the owner: since the last
+/// answer from the domain several further answers were due and are missing,
+/// while other domains have answered. This detects a partition long before the
+/// timeouts of the single workers. A delayed owner receives answers from no
+/// domain and therefore finds none silent. Linear in `polls`.
 std::set<base::DomainName> FindSilentDomains(
     const std::vector<PollState>& polls, const SilentDomainOptions& options,
     base::TimePoint now);
--- a/src/dispatch/internal/start_window.h
+++ b/src/dispatch/internal/start_window.h
@@ -12,28 +12,29 @@
   int initial_size = 64;
   int min_size = 16;
   int max_size = 1'024;
-  /// An answer that takes longer shows that orders wait behind each other.
+  /// A slower answer shows that orders queue up.
   base::Duration late_after{200};
-  /// The window changes at most once in this time, after at least so many
-  /// answers.
+  /// The window changes at most once in this time, and only after at least
+  /// `min_answers` answers.
   base::Duration min_period{200};
   int min_answers = 8;
-  /// It shrinks when more than this share of the answers is late or missing,
-  /// and may grow when less than that is. Workers that are cut off leave their
-  /// share of the starts without an answer, which no smaller window would mend.
+  /// The window shrinks when more than the first share of the answers is late
+  /// or missing, and may grow when less than the second is. The starts of
+  /// unreachable workers remain unanswered at any window size, so a moderate
+  /// share of missing answers does not shrink it.
   double shrink_above_late_share = 0.5;
   double grow_below_late_share = 0.25;
   double shrink_factor = 0.6;
   double growth_factor = 1.5;
-  /// It grows only when at least this share of it was used: a window that grew
-  /// while little was to be sent says nothing of what can be.
+  /// The window grows only when at least this share of it was used: prompt
+  /// answers to few starts do not show that a larger window can be sustained.
   double min_used_share = 0.5;
 };
 
-/// How many starts may be under way to workers at once. More than the owner's
-/// processor and its link carry in time would wait behind each other, be given
-/// up and sent again, so that the load grows with the failures. Pure: told of
-/// each answer, it follows how soon they come.
+/// Adaptive limit on the number of starts in flight to workers. More starts
+/// than the owner's processor and link can handle in time would queue up, time
+/// out and be sent again, so that failures increase the load. Performs no I/O:
+/// the size follows the answer times passed to OnAnswer.
 class StartWindow {
  public:
   explicit StartWindow(StartWindowOptions options)
@@ -41,13 +42,13 @@
 
   int size() const { return size_; }
 
-  /// So many starts are under way now.
+  /// Records that `in_flight` starts are in flight now.
   void RecordInFlight(int in_flight) {
     max_in_flight_ = std::max(max_in_flight_, in_flight);
   }
 
-  /// A start was answered after `took`, or had no answer in time. Returns
-  /// whether the window has changed.
+  /// Records a start that was answered after `took`, or that timed out if
+  /// `took` is empty. Returns whether the size of the window has changed.
   bool OnAnswer(std::optional<base::Duration> took, base::TimePoint now);
 
  private:
@@ -58,7 +59,7 @@
   base::TimePoint period_start_{};
   int answer_count_ = 0;
   int late_count_ = 0;
-  /// Of the present period.
+  /// Largest number of starts in flight in the present period.
   int max_in_flight_ = 0;
 };
 
--- a/src/dispatch/owner_lease.h
+++ b/src/dispatch/owner_lease.h
@@ -12,56 +12,57 @@
 
 namespace lapishatch::dispatch {
 
-/// Rows of the table, in the service's part: kEpochKey changes only when the
-/// service is taken, kLeaseKey at every renewal.
+/// Rows of the table in the service's partition: kEpochKey changes only when a
+/// process acquires the service, kLeaseKey also at every renewal.
 inline constexpr std::string_view kOwnerTable = "owners";
 inline constexpr std::string_view kEpochKey = "epoch";
 inline constexpr std::string_view kLeaseKey = "lease";
 
-/// Row of the table in each part with jobs: every owner writes it anew before
-/// it reads the part, so that nothing of a former owner is written there any
-/// more.
+/// Row of the table in each partition with jobs. Every new owner rewrites it
+/// before it reads the partition, which fences off writes of former owners.
 inline constexpr std::string_view kFenceKey = "fence";
 
 struct OwnerLeaseOptions {
-  /// How long a renewal counts, from before it was sent. A service has no owner
-  /// for about as long after a kill.
+  /// Validity of a renewal, counted from before it was sent. After its owner is
+  /// killed, a service has no owner for about this long.
   base::Duration duration{2'000};
   base::Duration renewal_interval{500};
   base::Duration retry_interval{200};
-  /// Most that a candidate waits beyond `length`, at random, so that not all
-  /// try at once.
+  /// Upper bound of the random wait of a candidate beyond `duration`, which
+  /// keeps candidates from trying at the same time.
   base::Duration max_jitter{150};
-  /// What a candidate on a weak VM waits beyond that, so that a strong one goes
-  /// before it; see TakeoverDelayFor.
+  /// Further wait of a candidate on a weak VM, so that a candidate on a strong
+  /// one precedes it; see TakeoverDelayFor.
   base::Duration takeover_delay{0};
   store::FollowerOptions follow;
 };
 
-/// How much longer than others a candidate waits whose VM has `cores` (a share
-/// of one, or several): a weak VM owns a large service only where there is no
-/// strong one.
+/// The additional wait of a candidate whose VM has `cores`, which may be a
+/// fraction of one. A weak VM owns a large service only if no strong VM is a
+/// candidate.
 base::Duration TakeoverDelayFor(double cores);
 
-/// What the lease tells its owner. Called on the loop.
+/// Callbacks of the lease, invoked on the event loop.
 struct OwnerLeaseCallbacks {
-  /// This process owns the service under `epoch` from now on. `former_is_gone`:
-  /// no former owner acts any more, rather than perhaps being cut off.
+  /// This process owns the service under `epoch` from now on.
+  /// `predecessor_stopped` tells that no former owner is active; otherwise one
+  /// may still run, partitioned from the store.
   std::function<void(Epoch epoch, bool predecessor_stopped)> on_acquired;
-  /// It owns it no longer.
+  /// This process no longer owns the service.
   std::function<void(const std::string& reason)> on_lost;
 };
 
-/// One process's part in who owns a service. A candidate takes the row when it
-/// has not changed for the lease's length by the candidate's own clock, in
-/// which the store answered all along; the holder counts from before its last
-/// renewal that succeeded. So the two never overlap, without comparing clocks.
+/// Takes part in the election of a service's owner on behalf of one process. A
+/// candidate takes the lease row if it has not changed for the lease's duration
+/// by the candidate's own clock, while the store answered throughout. The
+/// holder counts the duration from before its last successful renewal was sent.
+/// Two ownerships therefore never overlap, without a comparison of clocks.
 class OwnerLease {
  public:
-  /// `vm` is the name of this VM, on which one process at a time is a
-  /// candidate, so that a row held by another life on it is free. `suspended`
-  /// gives for how long this VM has been suspended in all; the steady clock
-  /// does not show it.
+  /// `vm` is the name of this VM. Only one process at a time is a candidate on
+  /// a VM, so a row held by another incarnation on it counts as released.
+  /// `suspended` returns the total time for which this VM has been suspended,
+  /// which the steady clock does not include.
   OwnerLease(base::EventLoop& loop, store::RowStore& store,
              base::ServiceName service, const std::string& vm,
              std::function<base::Duration()> suspended,
@@ -72,20 +73,20 @@
 
   void Start();
 
-  /// Whether this process certainly is the only owner at this moment.
+  /// Whether the lease guarantees that this process is the only owner now.
   bool IsValid() const;
 
-  /// Time since the last renewal that succeeded was sent.
+  /// Time since the last successful renewal was sent.
   base::Duration TimeSinceRenewal() const;
 
   bool is_holder() const;
 
-  /// Gives up the service, if it is held, so that another takes it at once, and
-  /// takes it no more. `done` is called when the store has said so; that may be
-  /// never while the store is out.
+  /// Releases the service if this process holds it, so that another one can
+  /// take it at once, and ends the candidacy. `done` is called when the store
+  /// has confirmed this; during an outage of the store that may never happen.
   void Release(std::function<void()> done);
 
-  /// The holder has seen that another process owns the service.
+  /// Ends the ownership after the holder has detected another owner.
   void MarkLost(const std::string& reason);
 
  private:
--- a/src/dispatch/service_loader.cc
+++ b/src/dispatch/service_loader.cc
@@ -73,12 +73,12 @@
     const auto other = std::strtoull(row.value.c_str(), nullptr, 10);
     if (other > epoch_) return on_lost_("a later owner has fenced a part");
     if (other < epoch_) return Fence(partition, row.version);
-    // An earlier try without an answer was done after all.
+    // An earlier attempt was committed although its answer was lost.
     loaded_.fence_versions[partition] = row.version;
     Enqueue(partition);
   }
 
-  /// A part that is fenced is read when its turn comes.
+  /// Queues a fenced partition for reading.
   void Enqueue(std::size_t partition) {
     fenced_partitions_.push_back(partition);
     ReadNext();
@@ -138,7 +138,7 @@
   const std::function<void(LoadedService)> on_loaded_;
   const std::function<void(const std::string&)> on_lost_;
   std::size_t unread_partitions_;
-  /// Parts that are fenced and wait to be read.
+  /// Fenced partitions that wait to be read.
   std::deque<std::size_t> fenced_partitions_;
   int partitions_being_read_ = 0;
   store::ReadWindow window_;
--- a/test/dispatch/bounds_test.cc
+++ b/test/dispatch/bounds_test.cc
@@ -9,11 +9,11 @@
 
 using base::Duration;
 
-TEST_CASE("the default bounds can be kept") {
+TEST_CASE("the default bounds are valid") {
   CHECK_FALSE(ValidateBounds(Bounds{}).has_value());
 }
 
-TEST_CASE("bounds that contradict each other are refused") {
+TEST_CASE("contradictory bounds are rejected") {
   Bounds bounds;
   bounds.stop_timeout = bounds.max_lease;
   CHECK(ValidateBounds(bounds) ==
@@ -23,8 +23,9 @@
   CHECK(ValidateBounds(bounds) == "work off its rack cannot be faster");
 }
 
-/// From 100 ms to 3 s to stop a task, 1 s to 10 s to begin guaranteed work.
-TEST_CASE("waits that follow from the bounds leave time for what comes after") {
+/// Covers 100 ms to 3 s to stop a task and 1 s to 10 s to start guaranteed
+/// jobs.
+TEST_CASE("derived waits leave time for a preemption after them") {
   for (const int stop : {100, 400, 900, 3'000}) {
     for (const int start : {1'000, 2'900, 3'400, 10'000}) {
       Bounds bounds;
@@ -33,7 +34,7 @@
       const auto planner = internal::PlannerOptionsFor(bounds);
       CHECK(planner.preempted_within > bounds.stop_timeout);
       CHECK(planner.guaranteed_slow_after >= Duration(0));
-      // A preemption after the wait is over still ends in time, if any could.
+      // A preemption after the wait still ends in time, if any preemption can.
       const bool is_possible =
           planner.preempted_within < bounds.guaranteed_start_delay;
       if (!is_possible) continue;
@@ -43,7 +44,7 @@
   }
 }
 
-TEST_CASE("a lease is never longer than workers allow") {
+TEST_CASE("a lease is never longer than workers accept") {
   for (const int most : {2'000, 3'000, 6'000, 10'000, 60'000}) {
     Bounds bounds;
     bounds.max_lease = Duration(most);
@@ -52,7 +53,7 @@
   }
 }
 
-TEST_CASE("an order does not outlast the bound of an evacuation") {
+TEST_CASE("an order expires before the limit of an evacuation") {
   for (const int delay : {3'000, 5'000, 10'000}) {
     for (const int gang : {1'000, 3'000, 5'000}) {
       Bounds bounds;
@@ -66,7 +67,7 @@
   }
 }
 
-TEST_CASE("a job's state outlives the time that callers may ask for it") {
+TEST_CASE("a job's state is kept longer than callers may request it") {
   for (const int kept : {1'000, 120'000, 3'600'000}) {
     Bounds bounds;
     bounds.state_retention = Duration(kept);
--- a/test/dispatch/silent_domains_test.cc
+++ b/test/dispatch/silent_domains_test.cc
@@ -14,8 +14,9 @@
 
 TimePoint At(int ms) { return TimePoint(Duration(ms)); }
 
-/// Ten workers a domain that answered 100 ms apart, `a` until 1 s, `b` until
-/// `b_until`, and whose next answers are due 800 ms after the last.
+/// Two domains of ten workers each, which answered 100 ms apart: `a` until 1 s,
+/// `b` until `b_until`. The next answer of each worker is due 800 ms after its
+/// last.
 std::vector<PollState> TwoDomains(int b_until) {
   std::vector<PollState> out;
   for (int i = 0; i < 10; ++i) {
@@ -26,17 +27,18 @@
   return out;
 }
 
-TEST_CASE("a domain that misses several answers while others come is silent") {
+TEST_CASE(
+    "a domain with several missing answers is silent while others answer") {
   CHECK(FindSilentDomains(TwoDomains(1'000), {}, At(1'000)).empty());
   const auto silent = FindSilentDomains(TwoDomains(0), {}, At(1'000));
   CHECK(silent == std::set<DomainName>{DomainName("b")});
 }
 
-TEST_CASE("an owner that hears nobody finds no domain silent") {
+TEST_CASE("an owner that receives no answers finds no domain silent") {
   CHECK(FindSilentDomains(TwoDomains(1'000), {}, At(5'000)).empty());
 }
 
-TEST_CASE("two workers that crashed are no silent domain") {
+TEST_CASE("two crashed workers do not make a domain silent") {
   auto polls = TwoDomains(1'000);
   int left = 2;
   for (auto& it : polls) {
@@ -47,10 +49,10 @@
   CHECK(FindSilentDomains(polls, {}, At(1'000)).empty());
 }
 
-TEST_CASE("urgent work avoids a domain that was cut off a moment ago") {
+TEST_CASE("an urgent job avoids a domain that was just partitioned") {
   OwnerWorld world(1, 24);
   world.RunFor(1'000);
-  // Polls of workers are spread in time as tasks end here and there.
+  // Tasks that end at different times spread the polls of the workers in time.
   for (int i = 0; i < 24; ++i) {
     auto job = OwnerWorld::MakeJob("warm" + std::to_string(i), 1, 8);
     world.Submit(job);
--- a/test/dispatch/start_window_test.cc
+++ b/test/dispatch/start_window_test.cc
@@ -7,12 +7,12 @@
 
 using base::Duration;
 
-/// Answers to starts, one each 10 ms.
+/// Feeds a window with one answer to a start every 10 ms.
 struct Answers {
   StartWindow window{{}};
   base::TimePoint now{Duration(100'000)};
 
-  /// While the window is used to the full.
+  /// Records `n` answers while the window is fully used.
   void Give(int n, std::optional<Duration> took) {
     for (int i = 0; i < n; ++i) {
       now += Duration(10);
@@ -22,7 +22,7 @@
   }
 };
 
-TEST_CASE("late answers make the window smaller, down to a least size") {
+TEST_CASE("late answers make the window smaller, down to a minimum size") {
   Answers answers;
   const int first = answers.window.size();
   answers.Give(30, Duration(400));
@@ -31,14 +31,14 @@
   CHECK(answers.window.size() == StartWindowOptions{}.min_size);
 }
 
-TEST_CASE("answers that do not come make the window smaller as late ones do") {
+TEST_CASE("missing answers make the window smaller as late ones do") {
   Answers answers;
   const int first = answers.window.size();
   answers.Give(30, std::nullopt);
   CHECK(answers.window.size() < first);
 }
 
-TEST_CASE("soon answers make the window larger, up to a most size") {
+TEST_CASE("prompt answers make the window larger, up to a maximum size") {
   Answers answers;
   const int first = answers.window.size();
   answers.Give(30, Duration(5));
@@ -47,7 +47,7 @@
   CHECK(answers.window.size() == StartWindowOptions{}.max_size);
 }
 
-TEST_CASE("a window that is hardly used does not grow") {
+TEST_CASE("a window that is little used does not grow") {
   Answers answers;
   const int first = answers.window.size();
   for (int i = 0; i < 200; ++i) {
@@ -58,7 +58,7 @@
   CHECK(answers.window.size() == first);
 }
 
-TEST_CASE("a share of workers that are cut off leaves the window as it is") {
+TEST_CASE("a share of unreachable workers leaves the window unchanged") {
   Answers answers;
   const int first = answers.window.size();
   for (int i = 0; i < 200; ++i) {
@@ -68,7 +68,7 @@
   CHECK(answers.window.size() == first);
 }
 
-TEST_CASE("the window comes back within a second when answers are soon again") {
+TEST_CASE("the window recovers within a second once answers are prompt again") {
   Answers answers;
   const int first = answers.window.size();
   answers.Give(1'000, std::nullopt);
