--- a/src/dispatch/bounds.cc
+++ b/src/dispatch/bounds.cc
@@ -13,28 +13,29 @@
 
 using base::Duration;
 
-/// From the end of a stopped task until its owner has heard of it.
-constexpr Duration kEndHeardWithin{600};
+/// Longest time from the end of a stopped task until its owner receives it.
+constexpr Duration kEndReportDelay{600};
 
-/// What an owner needs, besides a preemption, to begin a job: its acceptance to
-/// be read, its start to be recorded, sent and begun.
-constexpr Duration kStartNeeds{1'000};
+/// Time that an owner needs to start a job, besides a preemption: to read the
+/// accepted job, and to record, send and carry out its start.
+constexpr Duration kStartOverhead{1'000};
 
-/// What an order may be late at its worker beyond its own time limit.
-constexpr Duration kOrderSlack{500};
+/// How long after its validity an order may still reach its worker.
+constexpr Duration kOrderMargin{500};
 
 /// Registrations are polled: a lower limit would block starts between polls.
 constexpr Duration kMinRegistrationsAge{1'000};
 
-/// A lease as long as workers allow might be cut short by a rounding of theirs.
-constexpr Duration kLeaseSlack{100};
+/// Margin below the longest lease: rounding at workers might cut a longer one.
+constexpr Duration kLeaseMargin{100};
 
-/// Leases at workers need not outlive longer: a takeover and the renewals after
-/// it fit. Work on a worker that nobody reaches starts elsewhere only after it.
-constexpr Duration kLeaseNeeded{5'900};
+/// Sufficient lease for a takeover and the renewals after it. Not longer, since
+/// the tasks of an unreachable worker start elsewhere only after the lease.
+constexpr Duration kSufficientLease{5'900};
 
-/// Below it no renewal reaches a worker before the lease of the last one ends.
-constexpr Duration kLeastLease{2'000};
+/// With a shorter lease, renewals reach a worker only after the previous lease
+/// has expired.
+constexpr Duration kMinLease{2'000};
 
 }  // namespace
 
@@ -54,7 +55,7 @@
     if (time <= Duration(0)) return std::string(name) + " must be above 0";
   }
   if (bounds.remote_factor < 1) return "work off its rack cannot be faster";
-  if (bounds.max_lease < kLeastLease) {
+  if (bounds.max_lease < kMinLease) {
     return "the longest lease is too short to be renewed in time";
   }
   if (bounds.stop_timeout >= bounds.max_lease) {
@@ -66,11 +67,11 @@
 ServiceOwnerOptions OwnerOptionsFor(const Bounds& bounds) {
   ServiceOwnerOptions out;
   out.bounds = bounds;
-  // The first member of a gang must not give up before the last one may begin.
+  // The first member of a gang must not time out before the last one may start.
   out.start_validity = std::min(out.start_validity, bounds.gang_timeout / 2);
-  const auto in_flight = out.start_validity + kOrderSlack;
+  const auto in_flight = out.start_validity + kOrderMargin;
   out.max_evacuations_age =
-      std::max(bounds.evacuation_delay - in_flight, kOrderSlack);
+      std::max(bounds.evacuation_delay - in_flight, kOrderMargin);
   out.max_registrations_age =
       std::max(bounds.capacity_delay - in_flight, kMinRegistrationsAge);
   out.ended_job_retention = bounds.state_retention + bounds.state_retention / 2;
@@ -81,17 +82,18 @@
 
 SessionOptions SessionOptionsFor(const Bounds& bounds) {
   SessionOptions out;
-  out.lease_duration = std::min(kLeaseNeeded, bounds.max_lease - kLeaseSlack);
+  out.lease_duration =
+      std::min(kSufficientLease, bounds.max_lease - kLeaseMargin);
   return out;
 }
 
 TaskPlannerOptions PlannerOptionsFor(const Bounds& bounds) {
   TaskPlannerOptions out;
-  out.preempted_within = bounds.stop_timeout + kEndHeardWithin;
+  out.preempted_within = bounds.stop_timeout + kEndReportDelay;
   out.slow_place_after = bounds.remote_factor - 1;
   out.guaranteed_slow_after =
       std::max(Duration(0), bounds.guaranteed_start_delay -
-                                out.preempted_within - kStartNeeds);
+                                out.preempted_within - kStartOverhead);
   return out;
 }
 
--- a/src/dispatch/internal/worker_session.h
+++ b/src/dispatch/internal/worker_session.h
@@ -12,39 +12,41 @@
 namespace lapishatch::dispatch::internal {
 
 struct SessionOptions {
-  /// A worker kills what it runs when so much time has passed since the last
-  /// renewal was sent. Long enough for a takeover after a renewal that
-  /// is as old as `wait`; short, since work on a worker that nobody reaches may
-  /// start elsewhere only after it.
+  /// A worker kills its tasks this long after the last renewal was sent. Long
+  /// enough for a takeover after a renewal as old as `poll_wait`, and short
+  /// because the tasks of an unreachable worker may start elsewhere only after
+  /// it.
   base::Duration lease_duration{5'900};
-  /// How long a worker may wait for a task to end before it answers.
+  /// How long a worker may wait for a task to end before it answers a poll.
   base::Duration poll_wait{800};
-  /// Beyond the wait: one round trip and the worker's own delay.
+  /// Time beyond `poll_wait` for one round trip and the worker's own delay.
   base::Duration answer_timeout{600};
   base::Duration retry_delay{250};
-  /// Ends that cannot be recorded (the store is out) are not waited for longer:
-  /// the lease is to be renewed.
+  /// Longest wait for received ends to be recorded before the next poll. During
+  /// an outage of the store they cannot be recorded, but the lease must be
+  /// renewed.
   base::Duration max_record_wait{500};
-  /// A worker's clock may be this share slow.
+  /// A worker's clock may run slow by up to this share.
   double max_clock_drift = 0.02;
-  /// Allowed for what the estimate of a worker's clock cannot know.
+  /// Margin for errors of the estimate of a worker's clock.
   base::Duration clock_margin{300};
 };
 
-/// The conversation with one life of a worker: one call at a time that renews
-/// its lease and waits for tasks to end. Keeps what is known of its clock.
+/// Polls one incarnation of a worker, with one poll in flight at a time. A poll
+/// renews the worker's lease and waits for tasks to end. The session also
+/// estimates the worker's clock.
 class WorkerSession {
  public:
   struct Events {
-    /// News of the worker, as of after `sent`.
+    /// The worker's report, created after `sent`.
     std::function<void(WorkerReport news, base::TimePoint sent)> on_report;
     /// The worker has seen a higher epoch.
     std::function<void()> on_superseded;
-    /// This life of the worker is over.
+    /// This incarnation of the worker has ended.
     std::function<void()> on_other_incarnation;
-    /// Asked before each call: whether this owner may still renew leases.
+    /// Queried before each poll: whether this owner may still renew leases.
     std::function<bool()> may_renew;
-    /// Asked for each renewal: how long the lease may be.
+    /// Queried for each renewal: the longest permitted lease.
     std::function<base::Duration()> max_lease;
   };
 
@@ -65,33 +67,36 @@
   /// Whether the worker has answered since the session began.
   bool has_answered() const;
 
-  /// Whether it has answered lately, and no order to it has failed since.
+  /// Whether it has answered recently, and no order to it has failed since.
   bool IsReachable() const;
 
-  /// When it answered last.
+  /// Time of its last answer.
   base::TimePoint LastAnswerTime() const;
 
-  /// When the answer that is awaited was due first; the maximum while none is.
+  /// When the outstanding answer was first due; the maximum while none is
+  /// outstanding.
   base::TimePoint AnswerDueTime() const;
 
-  /// An order to it had no answer: it counts as not reached until it answers.
+  /// Called when an order had no answer: the worker counts as unreachable until
+  /// it answers.
   void MarkUnreachable();
 
-  /// An estimate of the worker's clock that is late by a round trip at most.
-  /// Only when it is heard.
+  /// An estimate of the worker's clock, at most one round trip behind it.
+  /// Requires has_answered().
   WorkerTime EstimatedWorkerTime() const;
 
-  /// An order that lets the worker's lease reach until `expires` was sent.
+  /// Called when an order was sent that extends the worker's lease to
+  /// `expires`.
   void NoteLeaseExpiry(WorkerTime expires);
 
-  /// Whether everything on it is certain to have been killed by the worker
-  /// itself, as its lease has run out. Only when it is heard.
+  /// Whether the worker's lease has certainly expired, so that the worker has
+  /// killed all its tasks. Requires has_answered().
   bool HasLeaseExpired() const;
 
-  /// Highest number of an end that was told.
+  /// Highest sequence number of the received ends.
   std::uint64_t last_received_end() const;
 
-  /// Ends up to `number` stand in the store.
+  /// Called when the ends up to sequence number `end` are in the store.
   void OnEndsRecorded(std::uint64_t end);
 
  private:
--- a/src/dispatch/owner_lease.cc
+++ b/src/dispatch/owner_lease.cc
@@ -14,24 +14,24 @@
 using store::RowVersion;
 using store::StoredRow;
 
-/// A suspension shorter than this cannot make a lease look valid that is not:
-/// the holder stops so much before the lease's end.
+/// The holder stops this long before the end of the lease, so that a shorter
+/// suspension cannot make an expired lease appear valid.
 constexpr base::Duration kMargin{100};
 
-/// The value of a lease row that nobody holds.
-constexpr std::string_view kNobody = "-";
+/// Value of a lease row without a holder.
+constexpr std::string_view kNoHolder = "-";
 
-/// Cores from which on a VM is not held back.
-constexpr double kEnoughCores = 0.25;
-/// Handicap of a VM without any.
-constexpr base::Duration kMostHandicap{400};
+/// A VM with at least this many cores has no takeover delay.
+constexpr double kFullSpeedCores = 0.25;
+/// Takeover delay for a VM with no cores.
+constexpr base::Duration kMaxTakeoverDelay{400};
 
 }  // namespace
 
 base::Duration TakeoverDelayFor(double cores) {
-  const double missing = 1 - std::clamp(cores / kEnoughCores, 0.0, 1.0);
+  const double missing = 1 - std::clamp(cores / kFullSpeedCores, 0.0, 1.0);
   return base::Duration(static_cast<std::int64_t>(
-      missing * static_cast<double>(kMostHandicap.count())));
+      missing * static_cast<double>(kMaxTakeoverDelay.count())));
 }
 
 class OwnerLease::Impl : public std::enable_shared_from_this<Impl> {
@@ -65,7 +65,7 @@
       }
     };
     const auto on_failure = [weak](const std::string&) {
-      if (const auto self = weak.lock()) self->is_aging_ = false;
+      if (const auto self = weak.lock()) self->is_measuring_age_ = false;
     };
     follower_.emplace(loop_, store_, std::string(kOwnerTable),
                       std::vector<std::string>{service_.str()}, options_.follow,
@@ -91,28 +91,28 @@
       const auto epoch = *std::exchange(epoch_, std::nullopt);
       return WriteRelease(epoch, std::move(done));
     }
-    if (takes_under_way_ == 0) return done();
-    // A take that is done after all would leave the service without an owner
-    // until its lease has run out.
-    on_take_answered_ = std::move(done);
+    if (attempts_in_flight_ == 0) return done();
+    // An attempt that is committed after this process has left would leave the
+    // service without an owner until the lease expires.
+    on_attempts_answered_ = std::move(done);
   }
 
   void MarkLost(const std::string& reason) {
     if (!epoch_) return;
     epoch_.reset();
-    is_aging_ = false;
+    is_measuring_age_ = false;
     events_.on_lost(reason);
   }
 
  private:
-  /// Only the epoch is a condition: a renewal may be under way (nearly always
-  /// when the store is slow), and then the lease row's version is not known.
-  /// Tried again until the store has said that it is done or another process
-  /// has taken the service.
+  /// Only the epoch is a condition: a renewal may be in flight (nearly always
+  /// if the store is slow), so that the version of the lease row is unknown.
+  /// Retried until the store confirms the write or another process has taken
+  /// the service.
   void WriteRelease(Epoch epoch, std::function<void()> done) {
     store_.Commit({service_.str(),
                    {Condition(kEpochKey, epoch)},
-                   {Put(kLeaseKey, kNobody)},
+                   {Put(kLeaseKey, kNoHolder)},
                    {}},
                   [weak = weak_from_this(), epoch,
                    done = std::move(done)](const RowsResult& result) {
@@ -121,11 +121,11 @@
                         std::holds_alternative<RowsConflict>(result);
                     if (is_over) return done();
                     const auto self = weak.lock();
-                    if (self) self->ReleaseAgain(epoch, done);
+                    if (self) self->RetryRelease(epoch, done);
                   });
   }
 
-  void ReleaseAgain(Epoch epoch, const std::function<void()>& done) {
+  void RetryRelease(Epoch epoch, const std::function<void()>& done) {
     loop_.After(options_.retry_interval,
                 [weak = weak_from_this(), epoch, done] {
                   if (const auto self = weak.lock())
@@ -142,14 +142,14 @@
     return {std::string(kOwnerTable), std::string(key), std::string(value)};
   }
 
-  /// A try to take the service, with what was known when it was sent.
-  struct OpenTake {
+  /// An attempt to acquire the service, with the state when it was sent.
+  struct Attempt {
     base::TimePoint sent;
     base::Duration suspended;
-    bool is_former_gone = false;
+    bool predecessor_stopped = false;
   };
 
-  // As a candidate.
+  // Candidacy.
 
   void OnRows(const std::vector<StoredRow>& rows) {
     bool has_changed = false;
@@ -164,120 +164,126 @@
       if (it.is_deleted) row_.reset();
     }
     if (epoch_ || is_leaving_) return CheckStillOwner();
-    if (IsOwnTake()) return OnTaken(epoch_row_, *open_take_);
-    if (has_changed || !is_aging_) {
-      is_aging_ = true;
-      ++watch_;
-      const auto wait = IsFormerGone() ? base::Duration(0) : options_.duration;
-      ArmTake(wait + Spread());
+    if (IsOwnAttempt()) return OnAcquired(epoch_row_, *open_attempt_);
+    if (has_changed || !is_measuring_age_) {
+      is_measuring_age_ = true;
+      ++measurement_;
+      const auto wait =
+          HasPredecessorStopped() ? base::Duration(0) : options_.duration;
+      ScheduleAcquire(wait + RandomDelay());
     }
   }
 
-  /// Whether a take of this process that had no answer was done after all. The
-  /// holder's text is of this life, and a take writes both rows at once.
-  bool IsOwnTake() const {
-    return open_take_ && row_ && row_->value == holder_ &&
+  /// Whether an attempt of this process was committed although its answer was
+  /// lost. The holder text identifies this incarnation, and an attempt writes
+  /// both rows in one transaction.
+  bool IsOwnAttempt() const {
+    return open_attempt_ && row_ && row_->value == holder_ &&
            row_->version == epoch_row_;
   }
 
-  /// Whether nobody acts as the owner: it was given up, or its holder was an
-  /// earlier life of this VM.
-  bool IsFormerGone() const {
-    return !row_ || row_->value == kNobody || row_->value.starts_with(vm_);
+  /// Whether no former owner is active: the lease was released, or its holder
+  /// was an earlier incarnation on this VM.
+  bool HasPredecessorStopped() const {
+    return !row_ || row_->value == kNoHolder || row_->value.starts_with(vm_);
   }
 
   /// The feed may be ahead of the answers to this holder's own renewals, so
-  /// only the epoch tells that another one took the service.
+  /// only the epoch shows that another process has taken the service.
   void CheckStillOwner() {
     if (epoch_ && epoch_row_ > *epoch_) MarkLost("another process took it");
   }
 
-  base::Duration Spread() {
+  base::Duration RandomDelay() {
     std::uniform_int_distribution<std::int64_t> range(
         0, options_.max_jitter.count());
     return base::Duration(range(random_)) + options_.takeover_delay;
   }
 
-  void ArmTake(base::Duration delay) {
-    loop_.After(delay, [weak = weak_from_this(), watch = watch_] {
+  void ScheduleAcquire(base::Duration delay) {
+    loop_.After(delay, [weak = weak_from_this(), measurement = measurement_] {
       const auto self = weak.lock();
-      if (self && self->watch_ == watch && self->is_aging_) self->Take();
+      if (self && self->measurement_ == measurement && self->is_measuring_age_)
+        self->TryAcquire();
     });
   }
 
-  void Take() {
+  void TryAcquire() {
     if (epoch_ || is_leaving_) return;
-    const OpenTake take{loop_.Now(), suspended_(), IsFormerGone()};
-    // An earlier try may still be carried out: then the lease counts from it.
-    if (!open_take_) open_take_ = take;
-    open_take_->is_former_gone =
-        open_take_->is_former_gone && take.is_former_gone;
+    const Attempt attempt{loop_.Now(), suspended_(), HasPredecessorStopped()};
+    // An earlier attempt may still be committed; the lease then counts from it.
+    if (!open_attempt_) open_attempt_ = attempt;
+    open_attempt_->predecessor_stopped =
+        open_attempt_->predecessor_stopped && attempt.predecessor_stopped;
     const auto lease_version = row_ ? row_->version : store::kAbsent;
-    ++takes_under_way_;
+    ++attempts_in_flight_;
     store_.Commit({service_.str(),
                    {Condition(kEpochKey, epoch_row_),
                     Condition(kLeaseKey, lease_version)},
                    {Put(kEpochKey, holder_), Put(kLeaseKey, holder_)},
                    {}},
-                  [weak = weak_from_this(), take](const RowsResult& result) {
+                  [weak = weak_from_this(), attempt](const RowsResult& result) {
                     const auto self = weak.lock();
                     if (!self) return;
-                    --self->takes_under_way_;
+                    --self->attempts_in_flight_;
                     const auto* committed = std::get_if<RowsCommitted>(&result);
-                    if (self->is_leaving_) return self->GiveUpTake(committed);
-                    if (committed == nullptr) return self->OnTakeFailed();
-                    self->OnTaken(committed->version, take);
+                    if (self->is_leaving_)
+                      return self->ReleaseLateAcquisition(committed);
+                    if (committed == nullptr) return self->OnAcquireFailed();
+                    self->OnAcquired(committed->version, attempt);
                   });
   }
 
-  /// Releases what was taken while this process was already stopping.
-  void GiveUpTake(const RowsCommitted* committed) {
-    if (!on_take_answered_) return;
+  /// Releases the service if it was acquired while this process was stopping.
+  void ReleaseLateAcquisition(const RowsCommitted* committed) {
+    if (!on_attempts_answered_) return;
     if (committed != nullptr) {
       return WriteRelease(committed->version,
-                          std::exchange(on_take_answered_, nullptr));
+                          std::exchange(on_attempts_answered_, nullptr));
     }
-    if (takes_under_way_ == 0) std::exchange(on_take_answered_, nullptr)();
+    if (attempts_in_flight_ == 0)
+      std::exchange(on_attempts_answered_, nullptr)();
   }
 
-  /// Whatever the reason, the feed shows how things stand: also when the row
-  /// was taken after all without an answer, as happens in a slow store.
-  void OnTakeFailed() {
+  /// The feed shows the present state whatever the reason of the failure, also
+  /// if the attempt was committed without an answer, as happens in a slow
+  /// store.
+  void OnAcquireFailed() {
     if (epoch_) return;
-    is_aging_ = false;
-    ++watch_;
+    is_measuring_age_ = false;
+    ++measurement_;
     loop_.After(options_.retry_interval, [weak = weak_from_this()] {
       const auto self = weak.lock();
-      if (self && !self->epoch_ && !self->is_aging_) self->OnRows({});
+      if (self && !self->epoch_ && !self->is_measuring_age_) self->OnRows({});
     });
   }
 
-  void OnTaken(RowVersion version, const OpenTake& take) {
+  void OnAcquired(RowVersion version, const Attempt& attempt) {
     if (is_leaving_ || epoch_) return;
     epoch_ = version;
     epoch_row_ = std::max(epoch_row_, version);
     lease_row_ = version;
-    renewed_at_ = take.sent;
-    suspended_at_renewal_ = take.suspended;
-    open_take_.reset();
-    ++watch_;
-    ArmNextRenewal();
-    events_.on_acquired(version, take.is_former_gone);
+    renewed_at_ = attempt.sent;
+    suspended_at_renewal_ = attempt.suspended;
+    open_attempt_.reset();
+    ++measurement_;
+    ScheduleNextRenewal();
+    events_.on_acquired(version, attempt.predecessor_stopped);
   }
 
-  // As the holder.
+  // Ownership.
 
-  void ArmRenewal(base::Duration delay) {
+  void ScheduleRenewal(base::Duration delay) {
     loop_.After(delay, [weak = weak_from_this(), epoch = epoch_] {
       const auto self = weak.lock();
       if (self && self->epoch_ && self->epoch_ == epoch) self->Renew();
     });
   }
 
-  /// At once when the last one took as long as the pause between two.
-  void ArmNextRenewal() {
+  /// Renews at once if the last renewal took as long as the renewal interval.
+  void ScheduleNextRenewal() {
     const auto next = renewed_at_ + options_.renewal_interval - loop_.Now();
-    ArmRenewal(std::max(next, base::Duration(0)));
+    ScheduleRenewal(std::max(next, base::Duration(0)));
   }
 
   void Renew() {
@@ -302,19 +308,19 @@
       lease_row_ = committed->version;
       renewed_at_ = sent;
       suspended_at_renewal_ = suspended;
-      return ArmNextRenewal();
+      return ScheduleNextRenewal();
     }
     const auto* conflict = std::get_if<RowsConflict>(&result);
-    if (conflict != nullptr && !IsStillMine(conflict->present)) {
+    if (conflict != nullptr && !IsStillOwner(conflict->present)) {
       return MarkLost("another process took it");
     }
-    ArmRenewal(conflict != nullptr ? base::Duration(0)
-                                   : options_.retry_interval);
+    ScheduleRenewal(conflict != nullptr ? base::Duration(0)
+                                        : options_.retry_interval);
   }
 
-  /// A renewal without an answer may have been done: then the lease row is this
-  /// holder's own with a newer version.
-  bool IsStillMine(const std::vector<StoredRow>& present) {
+  /// A renewal without an answer may have been committed; the lease row is then
+  /// this holder's own at a newer version.
+  bool IsStillOwner(const std::vector<StoredRow>& present) {
     RowVersion epoch_row = store::kAbsent;
     for (const auto& it : present) {
       if (it.address.key == kEpochKey) epoch_row = it.version;
@@ -326,7 +332,7 @@
   base::EventLoop& loop_;
   store::RowStore& store_;
   const base::ServiceName service_;
-  /// What the holders of all lives of this VM begin with.
+  /// Prefix of the holder texts of all incarnations on this VM.
   const std::string vm_;
   const std::string holder_;
   const std::function<base::Duration()> suspended_;
@@ -335,18 +341,18 @@
   base::Random random_;
   std::optional<store::FeedFollower> follower_;
 
-  // What the feed has shown.
+  // State last read from the feed.
   std::optional<StoredRow> row_;
   RowVersion epoch_row_ = store::kAbsent;
   bool is_read_ = false;
 
-  /// Whether the row's age is being watched, without a gap in the feed.
-  bool is_aging_ = false;
-  /// Numbers what is watched; timers of an earlier one do nothing.
-  int watch_ = 0;
+  /// Whether the age of the row is being measured, without a gap in the feed.
+  bool is_measuring_age_ = false;
+  /// Number of the current measurement; timers of earlier ones have no effect.
+  int measurement_ = 0;
 
-  /// The first try to take the service whose outcome is open.
-  std::optional<OpenTake> open_take_;
+  /// The first attempt to acquire the service whose outcome is unknown.
+  std::optional<Attempt> open_attempt_;
 
   /// Set while this process holds the service.
   std::optional<Epoch> epoch_;
@@ -354,9 +360,9 @@
   base::TimePoint renewed_at_{};
   base::Duration suspended_at_renewal_{0};
   bool is_leaving_ = false;
-  int takes_under_way_ = 0;
-  /// What a release waits with until the takes under way are answered.
-  std::function<void()> on_take_answered_;
+  int attempts_in_flight_ = 0;
+  /// Completion of a release that waits for the attempts in flight.
+  std::function<void()> on_attempts_answered_;
 };
 
 OwnerLease::OwnerLease(base::EventLoop& loop, store::RowStore& store,
--- a/src/dispatch/recorder.cc
+++ b/src/dispatch/recorder.cc
@@ -17,11 +17,12 @@
 using store::RowVersion;
 using store::UnknownOutcome;
 
-/// Jobs in one transaction: two entries each, beside the fence.
-constexpr std::size_t kMostJobs = (store::kMaxTransactionEntries - 1) / 2;
+/// Limit of jobs in one transaction: each job takes two entries, and the fence
+/// takes one.
+constexpr std::size_t kMaxJobs = (store::kMaxTransactionEntries - 1) / 2;
 
-/// Values are sent in base64, four bytes for three.
-constexpr std::size_t kMostValueBytes = store::kMaxTransactionBytes / 2;
+/// Values are sent in base64, which takes four bytes for three.
+constexpr std::size_t kMaxValueBytes = store::kMaxTransactionBytes / 2;
 
 }  // namespace
 
@@ -41,8 +42,8 @@
         random_(fence_version),
         backoff_(options.initial_backoff, options.max_backoff) {}
 
-  /// A timer is armed at the earliest time at which something is due and a
-  /// transaction may be sent.
+  /// Arms a timer for the earliest time at which a job is due and a transaction
+  /// may be sent.
   void ScheduleWrite() {
     if (!writing_.empty() || is_sending_ || is_backing_off_) return;
     if (dirty_.empty()) return;
@@ -62,14 +63,14 @@
       auto* job = book_.Find(name);
       if (job == nullptr) continue;
       if (dirty_.contains(job)) {
-        waiter.batches[name] = batch_ + 1;
+        waiter.batches[name] = batch_number_ + 1;
       } else if (writing_.contains(name)) {
-        waiter.batches[name] = batch_;
+        waiter.batches[name] = batch_number_;
       }
     }
     if (waiter.batches.empty()) return loop_.Post(std::move(done));
     waiter.done = std::move(done);
-    waiting_.push_back(std::move(waiter));
+    waiters_.push_back(std::move(waiter));
     ScheduleWrite();
   }
 
@@ -82,24 +83,25 @@
 
  private:
   struct Waiter {
-    /// The first batch by which each job that it still waits for is written as
-    /// it was.
+    /// For each job still to be recorded, the first batch that contains the
+    /// state at the time of the request.
     std::map<base::JobName, std::uint64_t> batches;
     std::function<void()> done;
   };
 
   void Arm(base::Duration delay) {
-    ++turn_;
-    loop_.After(delay, [weak = weak_from_this(), turn = turn_] {
+    ++timer_number_;
+    loop_.After(delay, [weak = weak_from_this(), timer_number = timer_number_] {
       const auto self = weak.lock();
-      if (!self || self->turn_ != turn) return;
+      if (!self || self->timer_number_ != timer_number) return;
       self->armed_at_.reset();
       self->is_backing_off_ = false;
       self->Write();
     });
   }
 
-  /// Writes what is due, or will be before the next transaction could be sent.
+  /// Writes the jobs that are due now or before the next transaction may be
+  /// sent.
   void Write() {
     const auto latest = loop_.Now() + options_.min_write_interval;
     const std::string table(jobs::kProgressTable);
@@ -109,7 +111,7 @@
         {std::string(kOwnerTable), std::string(kFenceKey), fence_version_});
     std::size_t bytes = 0;
     for (auto it = dirty_.begin(); it != dirty_.end();) {
-      if (writing_.size() >= kMostJobs || bytes >= kMostValueBytes) break;
+      if (writing_.size() >= kMaxJobs || bytes >= kMaxValueBytes) break;
       if (it->second > latest) {
         ++it;
         continue;
@@ -124,7 +126,7 @@
       writing_.insert(job->job->name);
     }
     if (writing_.empty()) return ScheduleWrite();
-    ++batch_;
+    ++batch_number_;
     Send(std::move(out));
   }
 
@@ -146,9 +148,9 @@
       return OnConflict(conflict->present);
     }
     if (const auto* failed = std::get_if<NotDone>(&result)) {
-      return Again(failed->detail);
+      return RetryAfterFailure(failed->detail);
     }
-    Again(std::get<UnknownOutcome>(result).detail);
+    RetryAfterFailure(std::get<UnknownOutcome>(result).detail);
   }
 
   void OnCommitted(RowVersion version) {
@@ -158,17 +160,17 @@
     }
     const auto written = std::exchange(writing_, {});
     const auto weak = weak_from_this();
-    CallWaiters(written);
+    NotifyWaiters(written);
     if (const auto self = weak.lock()) ScheduleWrite();
   }
 
-  /// Calls those whose changes are all written by now.
-  void CallWaiters(const std::set<base::JobName>& written) {
+  /// Calls the waiters whose jobs have all been written.
+  void NotifyWaiters(const std::set<base::JobName>& written) {
     std::vector<std::function<void()>> due;
     std::vector<Waiter> later;
-    for (auto& waiter : waiting_) {
+    for (auto& waiter : waiters_) {
       std::erase_if(waiter.batches, [&](const auto& it) {
-        return it.second <= batch_ && written.contains(it.first);
+        return it.second <= batch_number_ && written.contains(it.first);
       });
       if (waiter.batches.empty()) {
         due.push_back(std::move(waiter.done));
@@ -176,7 +178,7 @@
         later.push_back(std::move(waiter));
       }
     }
-    waiting_ = std::move(later);
+    waiters_ = std::move(later);
     const auto weak = weak_from_this();
     for (const auto& it : due) {
       it();
@@ -184,9 +186,9 @@
     }
   }
 
-  /// The rows are only written by the owner. When the fence is still this one,
-  /// an earlier transaction without an answer was done after all: its versions
-  /// are taken over and the present values written again.
+  /// Only the owner writes these rows. If the fence row is unchanged, an
+  /// earlier transaction was committed although its answer was lost: its
+  /// versions are adopted and the present values are written again.
   void OnConflict(const std::vector<store::StoredRow>& present) {
     RowVersion fence = store::kAbsent;
     std::map<std::string, RowVersion> versions;
@@ -205,10 +207,10 @@
       const auto it = versions.find(name.str());
       job->row_version = it == versions.end() ? store::kAbsent : it->second;
     }
-    Again("rows were written before");
+    RetryAfterFailure("rows were written before");
   }
 
-  void Again(const std::string& detail) {
+  void RetryAfterFailure(const std::string& detail) {
     base::Log(base::events::kRecordDelayed,
               {{"part", partition_}, {"detail", detail}});
     for (const auto& name : writing_) {
@@ -230,18 +232,18 @@
   base::Random random_;
   base::Backoff backoff_;
 
-  /// Jobs of the transaction under way.
+  /// Jobs of the transaction in flight.
   std::set<base::JobName> writing_;
   bool is_sending_ = false;
-  /// After a failure, until the next try.
+  /// Set from a failure until the next attempt.
   bool is_backing_off_ = false;
-  /// When the next transaction is to be sent, if a timer waits for that.
+  /// When the armed timer sends the next transaction, if one is armed.
   std::optional<base::TimePoint> armed_at_;
-  /// Numbers the timers; an earlier one does nothing.
-  std::uint64_t turn_ = 0;
+  /// Number of the current timer; earlier timers have no effect.
+  std::uint64_t timer_number_ = 0;
   base::TimePoint last_sent_{};
-  std::uint64_t batch_ = 0;
-  std::vector<Waiter> waiting_;
+  std::uint64_t batch_number_ = 0;
+  std::vector<Waiter> waiters_;
 };
 
 Recorder::Recorder(base::EventLoop& loop, store::RowStore& store,
--- a/src/dispatch/service_loader.cc
+++ b/src/dispatch/service_loader.cc
@@ -61,7 +61,7 @@
                 const RowsResult& result) {
     if (const auto* committed = std::get_if<RowsCommitted>(&result)) {
       loaded_.fence_versions[partition] = committed->version;
-      return Enqueue(partition);
+      return EnqueueRead(partition);
     }
     const auto* conflict = std::get_if<RowsConflict>(&result);
     if (conflict == nullptr) {
@@ -75,11 +75,11 @@
     if (other < epoch_) return Fence(partition, row.version);
     // An earlier attempt was committed although its answer was lost.
     loaded_.fence_versions[partition] = row.version;
-    Enqueue(partition);
+    EnqueueRead(partition);
   }
 
   /// Queues a fenced partition for reading.
-  void Enqueue(std::size_t partition) {
+  void EnqueueRead(std::size_t partition) {
     fenced_partitions_.push_back(partition);
     ReadNext();
   }
--- a/src/dispatch/service_owner.cc
+++ b/src/dispatch/service_owner.cc
@@ -8,15 +8,15 @@
 
 class ServiceOwner::Impl {
  public:
-  Impl(ServiceOwnerDependencies ports, base::ServiceName service,
+  Impl(ServiceOwnerDependencies dependencies, base::ServiceName service,
        const std::string& vm, ServiceOwnerOptions options)
-      : ports_(std::move(ports)),
+      : dependencies_(std::move(dependencies)),
         service_(std::move(service)),
         options_(options),
-        lease_(ports_.loop, ports_.store, service_, vm, ports_.suspended_time,
-               options.lease,
-               {[this](Epoch epoch, bool former_is_gone) {
-                  OnTaken(epoch, former_is_gone);
+        lease_(dependencies_.loop, dependencies_.store, service_, vm,
+               dependencies_.suspended_time, options.lease,
+               {[this](Epoch epoch, bool predecessor_stopped) {
+                  OnAcquired(epoch, predecessor_stopped);
                 },
                 [this](const std::string& reason) { OnLost(reason); }}) {}
 
@@ -43,18 +43,18 @@
   }
 
   void Stop(std::function<void()> done) {
-    Forget();
+    DropOwnedService();
     lease_.Release(std::move(done));
   }
 
   bool is_owner() const { return lease_.is_holder(); }
 
  private:
-  void OnTaken(Epoch epoch, bool former_is_gone) {
+  void OnAcquired(Epoch epoch, bool predecessor_stopped) {
     base::Log(base::events::kServiceTaken,
               {{"service", service_.str()},
                {"epoch", epoch},
-               {"former_is_gone", former_is_gone ? "yes" : "unknown"}});
+               {"former_is_gone", predecessor_stopped ? "yes" : "unknown"}});
     const internal::OwnerRights rights{
         [this] { return lease_.IsValid(); },
         [this] {
@@ -66,28 +66,30 @@
         },
         [this](const std::string& reason) { lease_.MarkLost(reason); }};
     owned_ = std::make_shared<internal::OwnedService>(
-        ports_, service_, epoch, former_is_gone, options_, rights);
+        dependencies_, service_, epoch, predecessor_stopped, options_, rights);
     owned_->SetGuarantees(guarantees_);
     for (const auto& [name, registration] : workers_)
       owned_->PutWorker(registration);
     owned_->Start();
-    if (ports_.on_ownership_change) ports_.on_ownership_change(true);
+    if (dependencies_.on_ownership_change)
+      dependencies_.on_ownership_change(true);
   }
 
   void OnLost(const std::string& reason) {
     base::Log(base::events::kServiceLost,
               {{"service", service_.str()}, {"reason", reason}});
-    Forget();
+    DropOwnedService();
   }
 
-  void Forget() {
+  void DropOwnedService() {
     if (!owned_) return;
     owned_.reset();
     workers_.clear();
-    if (ports_.on_ownership_change) ports_.on_ownership_change(false);
+    if (dependencies_.on_ownership_change)
+      dependencies_.on_ownership_change(false);
   }
 
-  const ServiceOwnerDependencies ports_;
+  const ServiceOwnerDependencies dependencies_;
   const base::ServiceName service_;
   const ServiceOwnerOptions options_;
   OwnerLease lease_;
@@ -96,11 +98,11 @@
   std::map<base::OrganisationName, std::int64_t> guarantees_;
 };
 
-ServiceOwner::ServiceOwner(ServiceOwnerDependencies ports,
+ServiceOwner::ServiceOwner(ServiceOwnerDependencies dependencies,
                            base::ServiceName service, const std::string& vm,
                            ServiceOwnerOptions options)
-    : impl_(std::make_unique<Impl>(std::move(ports), std::move(service), vm,
-                                   options)) {}
+    : impl_(std::make_unique<Impl>(std::move(dependencies), std::move(service),
+                                   vm, options)) {}
 
 ServiceOwner::~ServiceOwner() = default;
 
--- a/src/dispatch/service_owner.h
+++ b/src/dispatch/service_owner.h
@@ -92,7 +92,7 @@
 /// not the owner is a candidate for ownership.
 class ServiceOwner {
  public:
-  ServiceOwner(ServiceOwnerDependencies ports, base::ServiceName service,
+  ServiceOwner(ServiceOwnerDependencies dependencies, base::ServiceName service,
                const std::string& vm, ServiceOwnerOptions options);
   ~ServiceOwner();
   ServiceOwner(const ServiceOwner&) = delete;
--- a/src/dispatch/worker_session.cc
+++ b/src/dispatch/worker_session.cc
@@ -17,7 +17,7 @@
         options_(options),
         events_(std::move(events)) {}
 
-  /// `wait` is zero for a look that is answered at once.
+  /// With a `wait` of zero the worker answers at once.
   void Poll(base::Duration wait) {
     if (!events_.may_renew()) {
       is_reachable_ = false;
@@ -28,8 +28,9 @@
     order.epoch = epoch_;
     order.last_recorded_end = last_recorded_end_;
     order.max_wait = wait;
-    // A worker that did not answer is only asked, not renewed, until it does:
-    // otherwise it could never be certain that its lease has run out.
+    // The lease of a worker that did not answer is not renewed until it
+    // answers: otherwise this owner could never be certain that the lease has
+    // expired.
     if (has_answered_ && is_reachable_) {
       const auto lease = std::min(options_.lease_duration, events_.max_lease());
       order.lease_expires_at = EstimatedWorkerTime() + lease.count();
@@ -97,8 +98,8 @@
 
   void OnReport(WorkerReport report, base::TimePoint sent) {
     if (!has_answered_) {
-      // A former owner may have sent a renewal until now, under this lease's
-      // length; from this call on the worker refuses its orders.
+      // A former owner may have sent a renewal of the same duration until now.
+      // From this poll on the worker refuses its orders.
       NoteLeaseExpiry(report.worker_time + options_.lease_duration.count() +
                       options_.clock_margin.count());
     }
@@ -140,7 +141,7 @@
 
   bool has_answered_ = false;
   bool is_reachable_ = false;
-  /// The worker's clock in its last answer, and when that came.
+  /// The worker's clock in its last answer, and when that answer arrived.
   WorkerTime reported_worker_time_ = 0;
   base::TimePoint last_answer_at_{};
   base::TimePoint answer_due_ = base::TimePoint::max();
@@ -148,7 +149,7 @@
   std::uint64_t last_received_end_ = 0;
   std::uint64_t last_recorded_end_ = 0;
   bool is_waiting_for_record_ = false;
-  /// Counts the calls; a timer of an earlier one does nothing.
+  /// Counts the polls; a timer of an earlier poll has no effect.
   std::uint64_t poll_number_ = 0;
 };
 
