--- a/test/site/codec_test.cc
+++ b/test/site/codec_test.cc
@@ -2,11 +2,11 @@
 #include <catch2/catch.hpp>
 
 #include "platform/http_row_store.h"
-#include "platform/http_worker_port.h"
+#include "platform/http_worker_client.h"
 #include "platform/job_body.h"
 #include "platform/operator_rows.h"
 #include "platform/site_settings.h"
-#include "platform/worker_entries.h"
+#include "platform/worker_registrations.h"
 
 namespace lapishatch::platform {
 namespace {
@@ -92,8 +92,8 @@
   }
 }
 
-TEST_CASE("the response to a hold order is decoded") {
-  const auto report = DecodeHoldResponse(R"({"clock-ms":482113,
+TEST_CASE("the response to a poll order is decoded") {
+  const auto report = DecodePollResponse(R"({"clock-ms":482113,
     "running":[["aa.0.1.17",2,"c1",41,120]],
     "ended":[[58,"aa.0.1.9",1,"done",""],[59,"aa.0.1.8",3,"broken","c2"]]})");
   const auto& read = std::get<dispatch::WorkerReport>(report);
@@ -107,13 +107,13 @@
   CHECK(read.ended[1].outcome == dispatch::TaskOutcome::kGangBroken);
 }
 
-TEST_CASE("a malformed response to a hold order is rejected as a whole") {
+TEST_CASE("a malformed response to a poll order is rejected as a whole") {
   for (const auto* text :
        {"", "{}", R"({"clock-ms":1,"running":[],"ended":[[1,"a.0.0.0",1]]})",
         R"({"clock-ms":1,"running":[["x",1,"",0]],"ended":[]})",
         R"({"clock-ms":1,"running":[],"ended":[[1,"a.0.0.0",1,"gone",""]]})"}) {
     CHECK(
-        std::holds_alternative<HoldResponseProblem>(DecodeHoldResponse(text)));
+        std::holds_alternative<PollResponseProblem>(DecodePollResponse(text)));
   }
 }
 
@@ -124,24 +124,24 @@
   return out;
 }
 
-TEST_CASE("a runner's registration is decoded as a worker entry") {
-  const auto entry = DecodeWorkerEntry(RunnerRow(
+TEST_CASE("a runner's registration is decoded") {
+  const auto registration = DecodeWorkerRegistration(RunnerRow(
       R"({"service":"s","address":"10.1.0.9:8080","zone":"north",
       "state":"draining","remaining-ms":1500,"labels":["a","r1-3"],
       "capacity":{"cpu":16000,"mem-mb":32768,"gpu":4},"seq":9})"));
-  REQUIRE(entry);
-  CHECK(entry->name.str() == "i-1");
-  CHECK(entry->endpoint == http::Endpoint{"10.1.0.9", 8080});
-  CHECK(entry->rack.str() == "r1-3");
-  CHECK(entry->capacity == jobs::Resources{16'000, 32'768, 4});
-  CHECK(entry->is_draining);
-  CHECK(entry->remaining_time == base::Duration(1'500));
+  REQUIRE(registration);
+  CHECK(registration->name.str() == "i-1");
+  CHECK(registration->endpoint == http::Endpoint{"10.1.0.9", 8080});
+  CHECK(registration->rack.str() == "r1-3");
+  CHECK(registration->capacity == jobs::Resources{16'000, 32'768, 4});
+  CHECK(registration->is_draining);
+  CHECK(registration->remaining_time == base::Duration(1'500));
 }
 
 TEST_CASE("a registration that is malformed or lacks a capacity is rejected") {
-  CHECK_FALSE(DecodeWorkerEntry(RunnerRow(R"({"service":"s"})")));
-  CHECK_FALSE(DecodeWorkerEntry(RunnerRow("{")));
-  CHECK_FALSE(DecodeWorkerEntry(
+  CHECK_FALSE(DecodeWorkerRegistration(RunnerRow(R"({"service":"s"})")));
+  CHECK_FALSE(DecodeWorkerRegistration(RunnerRow("{")));
+  CHECK_FALSE(DecodeWorkerRegistration(
       RunnerRow(R"({"capacity":{"cpu":1},"service":"s","address":"x"})")));
 }
 
@@ -150,7 +150,7 @@
       R"({"service":"s","address":"10.1.0.9:8080","zone":"north",)"
       R"("state":"ready","labels":["a","r1-3"],)"
       R"("capacity":{"cpu":16000,"mem-mb":32768,"gpu":4}})";
-  REQUIRE(DecodeWorkerEntry(RunnerRow(valid)));
+  REQUIRE(DecodeWorkerRegistration(RunnerRow(valid)));
   const std::vector<std::pair<std::string, std::string>> changes = {
       {R"("ready")", R"("resting")"},
       {R"("ready")", "7"},
@@ -172,7 +172,7 @@
     auto text = valid;
     text.replace(text.find(from), from.size(), to);
     INFO(text);
-    CHECK_FALSE(DecodeWorkerEntry(RunnerRow(text)));
+    CHECK_FALSE(DecodeWorkerRegistration(RunnerRow(text)));
   }
 }
 
--- a/test/site/standin_codec_test.cc
+++ b/test/site/standin_codec_test.cc
@@ -3,10 +3,10 @@
 #include <catch2/catch.hpp>
 
 #include "platform/http_row_store.h"
-#include "platform/http_worker_port.h"
+#include "platform/http_worker_client.h"
 #include "platform/job_body.h"
 #include "platform/operator_rows.h"
-#include "platform/worker_entries.h"
+#include "platform/worker_registrations.h"
 
 namespace lapishatch::platform::standin {
 namespace {
@@ -27,7 +27,7 @@
   CHECK(read.removals[0].key == "gone");
 }
 
-TEST_CASE("the adapter decodes the stand-in's response to a hold order") {
+TEST_CASE("the adapter decodes the stand-in's response to a poll order") {
   dispatch::WorkerReport report;
   report.worker_time = 482'113;
   const jobs::TaskName task{base::JobName("00ff"), 0, 1, 17};
@@ -36,7 +36,7 @@
       {58, task, 1, dispatch::TaskOutcome::kLeaseExpired, "c0"});
   const auto response = EncodeResponse(dispatch::PollResult{report});
   CHECK(response.status == 200);
-  const auto read = DecodeHoldResponse(response.body);
+  const auto read = DecodePollResponse(response.body);
   const auto& decoded = std::get<dispatch::WorkerReport>(read);
   CHECK(decoded.worker_time == report.worker_time);
   REQUIRE(decoded.running.size() == 1);
@@ -48,19 +48,19 @@
 }
 
 TEST_CASE("the adapter decodes the stand-in's worker and configuration rows") {
-  dispatch::WorkerRegistration entry;
-  entry.name = base::WorkerName("w1");
-  entry.service = base::ServiceName("survey");
-  entry.endpoint = {"127.0.0.1", 4000};
-  entry.rack = base::RackName("r2");
-  entry.labels = {"a", "r2"};
-  entry.capacity = {64'000, 1'000, 8};
-  entry.is_draining = true;
-  entry.remaining_time = base::Duration(2'000);
+  dispatch::WorkerRegistration registration;
+  registration.name = base::WorkerName("w1");
+  registration.service = base::ServiceName("survey");
+  registration.endpoint = {"127.0.0.1", 4000};
+  registration.rack = base::RackName("r2");
+  registration.labels = {"a", "r2"};
+  registration.capacity = {64'000, 1'000, 8};
+  registration.is_draining = true;
+  registration.remaining_time = base::Duration(2'000);
   store::StoredRow row;
   row.address.key = "w1";
-  row.value = EncodeWorkerEntry(entry);
-  CHECK(DecodeWorkerEntry(row) == entry);
+  row.value = EncodeWorkerRegistration(registration);
+  CHECK(DecodeWorkerRegistration(row) == registration);
 
   jobs::QueueConfiguration configuration;
   configuration.version = 7;
--- a/testing/soak/fault_injector.cc
+++ b/testing/soak/fault_injector.cc
@@ -85,7 +85,7 @@
 
 void FaultInjector::InjectWorkerFault() {
   const auto index = RandomIndex(targets_.workers.size());
-  const auto name = targets_.workers[index].entry.name;
+  const auto name = targets_.workers[index].registration.name;
   auto& model = targets_.worker_model;
   switch (RandomInt(0, 4)) {
     case 0:
--- a/testing/soak/fault_injector.h
+++ b/testing/soak/fault_injector.h
@@ -17,7 +17,7 @@
 
 /// One worker of the stand-in and the relay in front of its port.
 struct SoakWorker {
-  dispatch::WorkerRegistration entry;
+  dispatch::WorkerRegistration registration;
   std::shared_ptr<scenario::Relay> relay;
 };
 
--- a/testing/soak/job_clients.cc
+++ b/testing/soak/job_clients.cc
@@ -51,11 +51,11 @@
 }  // namespace
 
 JobClients::JobClients(boost::asio::io_context& io, base::EventLoop& loop,
-                       std::vector<http::Endpoint> fronts,
+                       std::vector<http::Endpoint> api_endpoints,
                        const fakes::FakeTaskWorkers& workers,
                        std::uint64_t seed)
     : loop_(loop),
-      fronts_(std::move(fronts)),
+      api_endpoints_(std::move(api_endpoints)),
       workers_(workers),
       random_(seed),
       client_(io, MakeClientLimits()) {}
@@ -98,14 +98,14 @@
 void JobClients::Call(std::string method, const base::JobName& name,
                       std::string body,
                       std::function<void(const http::ClientResult&)> done) {
-  const auto& front = fronts_[static_cast<std::size_t>(
-      RandomInt(0, static_cast<int>(fronts_.size()) - 1))];
+  const auto& api_endpoint = api_endpoints_[static_cast<std::size_t>(
+      RandomInt(0, static_cast<int>(api_endpoints_.size()) - 1))];
   http::Request request;
   request.method = std::move(method);
   request.target = kPrefix + name.str();
   request.headers.Set("Content-Type", "application/json");
   request.body = std::move(body);
-  client_.Send(front, std::move(request), kCallTimeout, std::move(done));
+  client_.Send(api_endpoint, std::move(request), kCallTimeout, std::move(done));
 }
 
 void JobClients::Post(const base::JobName& name) {
--- a/testing/soak/job_clients.h
+++ b/testing/soak/job_clients.h
@@ -34,8 +34,9 @@
   }
 };
 
-/// Clients of the fronts. They submit random jobs, retry unsuccessful calls,
-/// poll states, cancel some jobs and record violated guarantees.
+/// Clients of the processes' API endpoints. They submit random jobs, retry
+/// unsuccessful calls, poll states, cancel some jobs and record violated
+/// guarantees.
 class JobClients {
  public:
   /// Clients send the address that they call as the host; the port is ignored.
@@ -44,10 +45,10 @@
   static constexpr const char* kService = "survey";
 
   JobClients(boost::asio::io_context& io, base::EventLoop& loop,
-             std::vector<http::Endpoint> fronts,
+             std::vector<http::Endpoint> api_endpoints,
              const fakes::FakeTaskWorkers& workers, std::uint64_t seed);
 
-  /// Submits one random job to a random front.
+  /// Submits one random job to a random API endpoint.
   void SubmitJob();
 
   /// Polls the state of each accepted job that has not ended.
@@ -76,7 +77,7 @@
   int RandomInt(int from, int to);
 
   base::EventLoop& loop_;
-  const std::vector<http::Endpoint> fronts_;
+  const std::vector<http::Endpoint> api_endpoints_;
   const fakes::FakeTaskWorkers& workers_;
   base::Random random_;
   http::Client client_;
--- a/testing/soak/site_process.cc
+++ b/testing/soak/site_process.cc
@@ -17,7 +17,7 @@
   out << "node = \"" << settings_.name << "\"\n"
       << "zone = \"hall\"\n"
       << "[listen-addrs]\n"
-      << "front = \"" << http::TextOf(settings_.front) << "\"\n"
+      << "front = \"" << http::TextOf(settings_.api_endpoint) << "\"\n"
       << "ready = \"" << http::TextOf(settings_.ready) << "\"\n"
       << "[bounds]\n"
       << "grace-s = 3\n"
--- a/testing/soak/site_process.h
+++ b/testing/soak/site_process.h
@@ -16,7 +16,7 @@
   std::string name;
   std::string program;
   std::string folder;
-  http::Endpoint front;
+  http::Endpoint api_endpoint;
   http::Endpoint ready;
   http::Endpoint store;
 };
@@ -43,7 +43,7 @@
     return process_ ? process_->Ended() : std::nullopt;
   }
 
-  const http::Endpoint& front() const { return settings_.front; }
+  const http::Endpoint& api_endpoint() const { return settings_.api_endpoint; }
   const std::string& name() const { return settings_.name; }
 
  private:
--- a/testing/soak/soak.cc
+++ b/testing/soak/soak.cc
@@ -137,42 +137,42 @@
     constexpr int kWorkersPerRack = 4;
     const int number = workers_created_++;
     SoakWorker worker;
-    auto& entry = worker.entry;
-    entry.name = base::WorkerName("w" + std::to_string(number));
-    entry.service = base::ServiceName(JobClients::kService);
-    entry.domain = base::DomainName("hall");
-    entry.rack = base::RackName(
+    auto& registration = worker.registration;
+    registration.name = base::WorkerName("w" + std::to_string(number));
+    registration.service = base::ServiceName(JobClients::kService);
+    registration.domain = base::DomainName("hall");
+    registration.rack = base::RackName(
         "r" + std::to_string(number % options_.workers / kWorkersPerRack));
-    entry.labels = {"a", entry.rack.str()};
-    entry.capacity = {64'000, 262'144, 8};
+    registration.labels = {"a", registration.rack.str()};
+    registration.capacity = {64'000, 262'144, 8};
     worker.relay = std::make_shared<scenario::Relay>(
-        relays_.io(), standin_.ServeWorker(entry.name));
-    entry.endpoint = worker.relay->endpoint();
-    model_.Add(entry);
-    RegisterWorker(entry);
+        relays_.io(), standin_.ServeWorker(registration.name));
+    registration.endpoint = worker.relay->endpoint();
+    model_.Add(registration);
+    RegisterWorker(registration);
     workers_.push_back(std::move(worker));
   }
 
-  void RegisterWorker(const dispatch::WorkerRegistration& entry) {
-    rows_.Put("servers", "", entry.name.str(),
-              platform::standin::EncodeWorkerEntry(entry));
+  void RegisterWorker(const dispatch::WorkerRegistration& registration) {
+    rows_.Put("servers", "", registration.name.str(),
+              platform::standin::EncodeWorkerRegistration(registration));
   }
 
   void RegisterWorkers() {
-    for (const auto& it : workers_) RegisterWorker(it.entry);
+    for (const auto& it : workers_) RegisterWorker(it.registration);
   }
 
   /// Replaces the worker after `stays`; unless `stays` is 0, the worker first
   /// announces that it drains.
   void ReplaceWorker(std::size_t index, Duration stays) {
-    auto& entry = workers_[index].entry;
-    if (entry.is_draining) return;
-    entry.is_draining = true;
+    auto& registration = workers_[index].registration;
+    if (registration.is_draining) return;
+    registration.is_draining = true;
     if (stays.count() > 0) {
-      entry.remaining_time = stays;
-      RegisterWorker(entry);
+      registration.remaining_time = stays;
+      RegisterWorker(registration);
     }
-    loop_->After(stays, [this, name = entry.name] { Remove(name); });
+    loop_->After(stays, [this, name = registration.name] { Remove(name); });
   }
 
   void Remove(const base::WorkerName& name) {
@@ -180,30 +180,30 @@
     rows_.Remove("servers", "", name.str());
     // The relay is kept because the end of a fault may still access it.
     for (auto& it : workers_) {
-      if (it.entry.name != name) continue;
+      if (it.registration.name != name) continue;
       removed_relays_.push_back(it.relay);
       auto next = std::move(workers_.back());
       workers_.pop_back();
-      if (next.entry.name != name) it = std::move(next);
+      if (next.registration.name != name) it = std::move(next);
       break;
     }
     AddWorker();
   }
 
   void StartProcesses() {
-    std::vector<http::Endpoint> fronts;
+    std::vector<http::Endpoint> api_endpoints;
     for (int i = 0; i < options_.processes; ++i) {
       const auto name = "site-" + std::to_string(i);
       store_relays_.push_back(std::make_unique<scenario::Relay>(
           relays_.io(), standin_.ServeStore(name)));
-      const auto front = ports_.Next();
+      const auto api_endpoint = ports_.Next();
       processes_.push_back(std::make_unique<SiteProcess>(SiteProcessSettings{
-          name, options_.program, options_.folder, front, ports_.Next(),
+          name, options_.program, options_.folder, api_endpoint, ports_.Next(),
           store_relays_.back()->endpoint()}));
-      fronts.push_back(front);
+      api_endpoints.push_back(api_endpoint);
     }
-    clients_ =
-        std::make_unique<JobClients>(io_, *loop_, fronts, model_, random_());
+    clients_ = std::make_unique<JobClients>(io_, *loop_, api_endpoints, model_,
+                                            random_());
     fault_injector_ = std::make_unique<FaultInjector>(
         *loop_,
         FaultTargets{processes_, store_relays_, workers_, rows_, model_,
