--- a/src/dispatch/job_tracker.cc
+++ b/src/dispatch/job_tracker.cc
@@ -112,8 +112,9 @@
     SetCriticalPaths(runs);
   }
   auto chain = base::Duration(0);
-  for (const auto& it : job.runs.front())
+  for (const auto& it : job.runs.front()) {
     chain = std::max(chain, it.critical_path);
+  }
   job.latency_objective =
       job.job->target_latency +
       base::Duration(static_cast<std::int64_t>(
@@ -313,8 +314,9 @@
   if (member.is_suspect) fleet_.AddSuspectTasks(member.worker, -1);
   fleet_.Release(member.worker, ResourcesPerTask(*run.step));
   const auto it = run.tasks_by_worker.find(member.worker);
-  if (it != run.tasks_by_worker.end() && --it->second == 0)
+  if (it != run.tasks_by_worker.end() && --it->second == 0) {
     run.tasks_by_worker.erase(it);
+  }
   const bool is_last = std::all_of(
       unit.members.begin(), unit.members.end(),
       [](const Member& m) { return m.state == MemberState::kTerminated; });
--- a/src/dispatch/owned_orders.cc
+++ b/src/dispatch/owned_orders.cc
@@ -225,8 +225,9 @@
     // refused because an earlier one has run and ended, which the worker then
     // reports.
     if (member.unanswered_starts > 0) return;
-    if (worker != nullptr)
+    if (worker != nullptr) {
       worker->paused_until = now + options_.refusal_backoff;
+    }
     book_.OnRefused(*unit, task.index, now);
     return ScheduleDecisionRound();
   }
@@ -244,8 +245,9 @@
              {"worker", member.worker},
              {"tries", member.unanswered_starts}});
   if (worker != nullptr) worker->session->MarkUnreachable();
-  if (member.unanswered_starts < options_.max_start_attempts)
+  if (member.unanswered_starts < options_.max_start_attempts) {
     return SendStart(task, run);
+  }
   book_.Stop(*unit);
   ScheduleDecisionRound();
 }
--- a/src/dispatch/owned_workers.cc
+++ b/src/dispatch/owned_workers.cc
@@ -245,8 +245,9 @@
     }
     SendStop(it.task, it.run, name);
   }
-  if (auto* fleet_worker = fleet_.Find(name))
+  if (auto* fleet_worker = fleet_.Find(name)) {
     fleet_worker->stray_usage = strays;
+  }
   for (const auto& it : report.ended) OnTaskEnded(name, it);
   EndUnreportedTasks(name, report, sent);
   const auto last_end = worker->session->last_received_end();
--- a/src/dispatch/owner_lease.cc
+++ b/src/dispatch/owner_lease.cc
@@ -128,8 +128,9 @@
   void RetryRelease(Epoch epoch, const std::function<void()>& done) {
     loop_.After(options_.retry_interval,
                 [weak = weak_from_this(), epoch, done] {
-                  if (const auto self = weak.lock())
+                  if (const auto self = weak.lock()) {
                     self->WriteRelease(epoch, done);
+                  }
                 });
   }
 
@@ -203,8 +204,10 @@
   void ScheduleAcquire(base::Duration delay) {
     loop_.After(delay, [weak = weak_from_this(), measurement = measurement_] {
       const auto self = weak.lock();
-      if (self && self->measurement_ == measurement && self->is_measuring_age_)
+      if (self && self->measurement_ == measurement &&
+          self->is_measuring_age_) {
         self->TryAcquire();
+      }
     });
   }
 
@@ -227,8 +230,9 @@
                     if (!self) return;
                     --self->attempts_in_flight_;
                     const auto* committed = std::get_if<RowsCommitted>(&result);
-                    if (self->is_leaving_)
+                    if (self->is_leaving_) {
                       return self->ReleaseLateAcquisition(committed);
+                    }
                     if (committed == nullptr) return self->OnAcquireFailed();
                     self->OnAcquired(committed->version, attempt);
                   });
@@ -241,8 +245,9 @@
       return WriteRelease(committed->version,
                           std::exchange(on_attempts_answered_, nullptr));
     }
-    if (attempts_in_flight_ == 0)
+    if (attempts_in_flight_ == 0) {
       std::exchange(on_attempts_answered_, nullptr)();
+    }
   }
 
   /// The feed shows the present state whatever the reason of the failure, also
--- a/src/dispatch/placer.cc
+++ b/src/dispatch/placer.cc
@@ -52,9 +52,10 @@
     const auto free_resources = worker.Free();
     if (!free_resources.Covers(needs) || !IsAllowed(worker, request)) return;
     const int left = TasksLeft(worker, request);
-    if (left > 0)
+    if (left > 0) {
       out.push_back(
           {&worker, free_resources, left, workers.FreeOnRack(worker)});
+    }
   });
   return out;
 }
--- a/src/dispatch/service_loader.cc
+++ b/src/dispatch/service_loader.cc
@@ -38,8 +38,9 @@
   }
 
   void Start() {
-    for (std::size_t i = 0; i < partitions_.size(); ++i)
+    for (std::size_t i = 0; i < partitions_.size(); ++i) {
       Fence(i, store::kAbsent);
+    }
   }
 
  private:
@@ -100,8 +101,9 @@
                 [weak = weak_from_this(), partition, from,
                  sent = loop_.Now()](RowsReadResult result) {
                   const auto self = weak.lock();
-                  if (self)
+                  if (self) {
                     self->OnPage(partition, from, sent, std::move(result));
+                  }
                 });
   }
 
--- a/src/dispatch/service_owner.cc
+++ b/src/dispatch/service_owner.cc
@@ -68,11 +68,13 @@
     owned_ = std::make_shared<internal::OwnedService>(
         dependencies_, service_, epoch, predecessor_stopped, options_, rights);
     owned_->SetGuarantees(guarantees_);
-    for (const auto& [name, registration] : workers_)
+    for (const auto& [name, registration] : workers_) {
       owned_->PutWorker(registration);
+    }
     owned_->Start();
-    if (dependencies_.on_ownership_change)
+    if (dependencies_.on_ownership_change) {
       dependencies_.on_ownership_change(true);
+    }
   }
 
   void OnLost(const std::string& reason) {
@@ -85,8 +87,9 @@
     if (!owned_) return;
     owned_.reset();
     workers_.clear();
-    if (dependencies_.on_ownership_change)
+    if (dependencies_.on_ownership_change) {
       dependencies_.on_ownership_change(false);
+    }
   }
 
   const ServiceOwnerDependencies dependencies_;
--- a/src/dispatch/start_window.cc
+++ b/src/dispatch/start_window.cc
@@ -17,8 +17,9 @@
   late_count_ = 0;
   max_in_flight_ = 0;
   period_start_ = now;
-  if (late_share > options_.shrink_above_late_share)
+  if (late_share > options_.shrink_above_late_share) {
     return Resize(options_.shrink_factor);
+  }
   if (late_share < options_.grow_below_late_share && is_used) {
     return Resize(options_.growth_factor);
   }
--- a/src/dispatch/task_planner.cc
+++ b/src/dispatch/task_planner.cc
@@ -145,8 +145,9 @@
   const int tasks = unit.step_run->TasksPerUnit();
   starts_left_ -= tasks;
   non_urgent_starts_left_ -= tasks;
-  if (was_free)
+  if (was_free) {
     free_accelerators_ -= unit.step_run->step->needs.accelerators * tasks;
+  }
 }
 
 /// Whether starting one more unit of the step would use headroom.
@@ -219,8 +220,9 @@
   bool is_free = true;
   for (const auto& [name, resources] : wanted) {
     const auto* worker = fleet_.Find(name);
-    if (worker == nullptr || !worker->is_schedulable)
+    if (worker == nullptr || !worker->is_schedulable) {
       return ReservationState::kInvalid;
+    }
     is_free = is_free && worker->Free().Covers(resources);
   }
   return is_free ? ReservationState::kFree : ReservationState::kOccupied;
@@ -319,8 +321,9 @@
 /// spare, is starved, or no worker is safe.
 std::optional<Placement> TaskPlanner::FindPreferredPlacement(
     const Unit& unit, PlacementRequest request, bool is_starved) {
-  if (!unit.failed_workers.empty())
+  if (!unit.failed_workers.empty()) {
     request.excluded_workers = &unit.failed_workers;
+  }
   request.excludes_risky_workers = true;
   auto placement = FindPlacement(*workers_, request);
   if (placement) return placement;
--- a/src/dispatch/worker_session.cc
+++ b/src/dispatch/worker_session.cc
@@ -72,8 +72,9 @@
 
   void OnEndsRecorded(std::uint64_t end) {
     last_recorded_end_ = std::max(last_recorded_end_, end);
-    if (!is_waiting_for_record_ || last_recorded_end_ < last_received_end_)
+    if (!is_waiting_for_record_ || last_recorded_end_ < last_received_end_) {
       return;
+    }
     is_waiting_for_record_ = false;
     Poll(options_.poll_wait);
   }
@@ -89,8 +90,9 @@
       return events_.on_other_incarnation();
     }
     if (const auto* refused = std::get_if<Refused>(&result)) {
-      if (refused->reason == RefusalReason::kStaleEpoch)
+      if (refused->reason == RefusalReason::kStaleEpoch) {
         return events_.on_superseded();
+      }
     }
     is_reachable_ = false;
     ArmPoll(options_.retry_delay);
@@ -111,8 +113,9 @@
     std::erase_if(report.ended, [this](const EndedTask& it) {
       return it.sequence_number <= last_received_end_;
     });
-    if (!report.ended.empty())
+    if (!report.ended.empty()) {
       last_received_end_ = report.ended.back().sequence_number;
+    }
     is_waiting_for_record_ = last_received_end_ > last_recorded_end_;
     const auto poll_number = poll_number_;
     const auto weak = weak_from_this();
--- a/testing/fakes/fake_task_workers.cc
+++ b/testing/fakes/fake_task_workers.cc
@@ -243,8 +243,9 @@
       order.run <= last_ended->second) {
     return Refused{RefusalReason::kStaleRun};
   }
-  if (order.expires_at < ClockOf(worker))
+  if (order.expires_at < ClockOf(worker)) {
     return Refused{RefusalReason::kExpired};
+  }
   ExtendLease(worker, order.expires_at);
   const Run run{order.task, order.run, ++last_run_id_, Duration(0)};
   RecordStart(worker, run);
@@ -313,8 +314,9 @@
           if (is_same) ++present;
         }
       }
-      if (present < gang_size(run.task))
+      if (present < gang_size(run.task)) {
         EndRun(*it, run.id, TaskOutcome::kGangIncomplete);
+      }
     });
   }
   const auto work_time = run_time ? run_time(run.task) : kRunTime;
@@ -376,8 +378,9 @@
 
 void FakeTaskWorkers::Hold(Worker& worker, const PollOrder& order,
                            std::function<void(PollResult)> answer) {
-  if (order.epoch < worker.epoch)
+  if (order.epoch < worker.epoch) {
     return answer(Refused{RefusalReason::kStaleEpoch});
+  }
   worker.epoch = order.epoch;
   std::erase_if(worker.ended, [&](const EndedTask& it) {
     if (it.sequence_number > order.last_recorded_end) return false;
@@ -427,8 +430,9 @@
   if (!worker.is_alive || ClockOf(worker) < worker.expires) return;
   const auto running = worker.running;
   worker.last_lapsed_end = worker.last_end;
-  for (const auto& it : running)
+  for (const auto& it : running) {
     EndRun(worker, it.id, TaskOutcome::kLeaseExpired);
+  }
 }
 
 std::size_t FakeTaskWorkers::running() const {
