--- a/src/dispatch/bounds.cc
+++ b/src/dispatch/bounds.cc
@@ -41,25 +41,27 @@
 
 std::optional<std::string> ValidateBounds(const Bounds& bounds) {
   const std::array<std::pair<std::string_view, Duration>, 9> times{{
-      {"the time to stop a task", bounds.stop_timeout},
+      {"the timeout for stopping a task", bounds.stop_timeout},
       {"the longest lease", bounds.max_lease},
-      {"the wait of a gang", bounds.gang_timeout},
-      {"the start of guaranteed work", bounds.guaranteed_start_delay},
+      {"the timeout of a gang", bounds.gang_timeout},
+      {"the start delay of guaranteed work", bounds.guaranteed_start_delay},
       {"the delay of a drain", bounds.drain_delay},
       {"the delay of a configuration", bounds.configuration_delay},
       {"the delay of an evacuation", bounds.evacuation_delay},
       {"the delay of a capacity reduction", bounds.capacity_delay},
-      {"the time that states are kept", bounds.state_retention},
+      {"the retention of job states", bounds.state_retention},
   }};
   for (const auto& [name, time] : times) {
     if (time <= Duration(0)) return std::string(name) + " must be above 0";
   }
-  if (bounds.remote_factor < 1) return "work off its rack cannot be faster";
+  if (bounds.remote_factor < 1) {
+    return "the factor for work outside its rack must be at least 1";
+  }
   if (bounds.max_lease < kMinLease) {
     return "the longest lease is too short to be renewed in time";
   }
   if (bounds.stop_timeout >= bounds.max_lease) {
-    return "a task must be stopped before its lease runs out";
+    return "the timeout for stopping a task must be below the longest lease";
   }
   return std::nullopt;
 }
--- a/src/dispatch/fleet.cc
+++ b/src/dispatch/fleet.cc
@@ -14,13 +14,13 @@
   return out;
 }
 
-void Fleet::Put(const WorkerRegistration& entry) {
-  auto& worker = workers_[entry.name];
-  worker.name = entry.name;
-  worker.rack = entry.rack;
-  worker.domain = entry.domain;
-  worker.labels = entry.labels;
-  worker.capacity = entry.capacity;
+void Fleet::Put(const WorkerRegistration& registration) {
+  auto& worker = workers_[registration.name];
+  worker.name = registration.name;
+  worker.rack = registration.rack;
+  worker.domain = registration.domain;
+  worker.labels = registration.labels;
+  worker.capacity = registration.capacity;
   worker.is_known = true;
 }
 
--- a/src/dispatch/fleet.h
+++ b/src/dispatch/fleet.h
@@ -69,7 +69,7 @@
 class Fleet {
  public:
   /// Adds a worker or updates its capacity, rack and labels.
-  void Put(const WorkerRegistration& entry);
+  void Put(const WorkerRegistration& registration);
 
   /// Removes the worker. Its allocated resources stay counted until they are
   /// released, even if the worker is added again in the meantime.
--- a/src/dispatch/internal/job_tracker.h
+++ b/src/dispatch/internal/job_tracker.h
@@ -124,7 +124,9 @@
   /// Jobs of a partition whose progress has changed since it was recorded, and
   /// the time by which to record it. The partition's recorder empties it.
   using DirtyJobs = std::map<JobEntry*, base::TimePoint>;
-  DirtyJobs& dirty(int part) { return dirty_[static_cast<std::size_t>(part)]; }
+  DirtyJobs& dirty(int partition_index) {
+    return dirty_[static_cast<std::size_t>(partition_index)];
+  }
 
   /// Jobs that have not ended.
   const std::set<const JobEntry*>& unfinished() const { return unfinished_; }
--- a/src/dispatch/internal/owned_service.h
+++ b/src/dispatch/internal/owned_service.h
@@ -38,7 +38,7 @@
   /// Whether the owner may still renew the leases of workers.
   std::function<bool()> may_renew;
   /// Maximum length of a worker's lease, from now on.
-  std::function<base::Duration()> max_worker_lease;
+  std::function<base::Duration()> max_lease;
   /// Called when another process is found to own the service.
   std::function<void(const std::string& reason)> on_lost;
 };
@@ -54,15 +54,16 @@
 /// are running there.
 class OwnedService : public std::enable_shared_from_this<OwnedService> {
  public:
-  OwnedService(const ServiceOwnerDependencies& ports, base::ServiceName service,
-               Epoch epoch, bool is_former_owner_gone,
-               const ServiceOwnerOptions& options,
+  OwnedService(const ServiceOwnerDependencies& dependencies,
+               base::ServiceName service, Epoch epoch,
+               bool is_former_owner_gone, const ServiceOwnerOptions& options,
                OwnerPermissions permissions);
 
   void Start();
 
-  /// Adds a worker or updates its entry. Workers of other services are ignored.
-  void PutWorker(const WorkerRegistration& entry);
+  /// Adds a worker or updates its registration. Workers of other services are
+  /// ignored.
+  void PutWorker(const WorkerRegistration& registration);
 
   /// Handles the removal of a worker's registration. The tasks there are over
   /// only when the worker's lease has expired.
@@ -94,7 +95,7 @@
   void OnCancelRequest(const base::JobName& name);
 
   // Workers.
-  void OpenSession(const WorkerRegistration& entry);
+  void OpenSession(const WorkerRegistration& registration);
   bool IsInEvacuatedDomain(const Worker& worker) const;
   /// Whether the known evacuations are at least as new as this owner's epoch
   /// and were confirmed recently. An owner whose feed lags behind starts no
@@ -111,8 +112,8 @@
   /// stopped on a worker fit its capacity.
   bool IsWithinCapacity(const base::WorkerName& name);
   void HandleEvacuationChanges();
-  void RecordDeparture(const WorkerRegistration& entry);
-  void HandleCapacityChange(const WorkerRegistration& entry);
+  void RecordDeparture(const WorkerRegistration& registration);
+  void HandleCapacityChange(const WorkerRegistration& registration);
   void StopUnitsOnDrainingWorkers();
   void OnWorkerReport(const base::WorkerName& name, const WorkerReport& report,
                       base::TimePoint sent);
@@ -171,7 +172,7 @@
   Unit* FindUnitOfRun(const jobs::TaskName& task, int run);
   Worker* FindWorker(const base::WorkerName& name);
 
-  const ServiceOwnerDependencies& ports_;
+  const ServiceOwnerDependencies& dependencies_;
   const base::ServiceName service_;
   const Epoch epoch_;
   const bool is_former_owner_gone_;
@@ -180,7 +181,7 @@
   const base::TimePoint acquired_at_;
 
   Fleet fleet_;
-  JobTracker book_;
+  JobTracker tracker_;
   TaskPlanner planner_;
   const SessionOptions session_options_;
   ServiceLoader loader_;
--- a/src/dispatch/internal/recorder.h
+++ b/src/dispatch/internal/recorder.h
@@ -33,14 +33,14 @@
   /// called when the row shows another owner.
   Recorder(base::EventLoop& loop, store::RowStore& store, std::string partition,
            int partition_index, store::RowVersion fence_version,
-           JobTracker& book, RecorderOptions options,
+           JobTracker& tracker, RecorderOptions options,
            std::function<void(const std::string&)> on_lost);
   ~Recorder();
   Recorder(const Recorder&) = delete;
   Recorder& operator=(const Recorder&) = delete;
 
   /// Schedules a write of the dirty jobs for when they are due. To be called
-  /// after each change of the book.
+  /// after each change of the tracked jobs.
   void ScheduleWrite();
 
   /// Calls `done` once the present state of `jobs`, all of this partition, is
--- a/src/dispatch/internal/start_window.h
+++ b/src/dispatch/internal/start_window.h
@@ -18,10 +18,10 @@
   /// `min_answers` answers.
   base::Duration min_period{200};
   int min_answers = 8;
-  /// The window shrinks when more than the first share of the answers is late
-  /// or missing, and may grow when less than the second is. The starts of
-  /// unreachable workers remain unanswered at any window size, so a moderate
-  /// share of missing answers does not shrink it.
+  /// The window shrinks when more than `shrink_above_late_share` of the answers
+  /// are late or missing, and may grow when less than `grow_below_late_share`
+  /// are. The starts of unreachable workers remain unanswered at any window
+  /// size, so a moderate share of missing answers does not shrink it.
   double shrink_above_late_share = 0.5;
   double grow_below_late_share = 0.25;
   double shrink_factor = 0.6;
--- a/src/dispatch/internal/waiting_count_writer.h
+++ b/src/dispatch/internal/waiting_count_writer.h
@@ -16,7 +16,7 @@
 class WaitingCountWriter {
  public:
   WaitingCountWriter(base::EventLoop& loop, store::RowStore& store,
-                     std::string part, store::RowVersion fence,
+                     std::string partition, store::RowVersion fence,
                      const JobTracker& tracker);
   ~WaitingCountWriter();
   WaitingCountWriter(const WaitingCountWriter&) = delete;
--- a/src/dispatch/internal/worker_session.h
+++ b/src/dispatch/internal/worker_session.h
@@ -39,7 +39,7 @@
  public:
   struct Events {
     /// The worker's report, created after `sent`.
-    std::function<void(WorkerReport news, base::TimePoint sent)> on_report;
+    std::function<void(WorkerReport report, base::TimePoint sent)> on_report;
     /// The worker has seen a higher epoch.
     std::function<void()> on_superseded;
     /// This incarnation of the worker has ended.
--- a/src/dispatch/owned_losses.cc
+++ b/src/dispatch/owned_losses.cc
@@ -29,7 +29,7 @@
       unit, static_cast<std::size_t>(index - unit.first_index));
   const auto run_time = member.confirmed_at == TimePoint{}
                             ? base::Duration(0)
-                            : ports_.loop.Now() - member.confirmed_at;
+                            : dependencies_.loop.Now() - member.confirmed_at;
   base::Log(base::events::kTaskLost, {{"request", task.job},
                                       {"task", TextOf(task)},
                                       {"run", unit.last_run},
@@ -40,14 +40,14 @@
                                       {"failures", unit.failures},
                                       {"losses", losses.count},
                                       {"suspicion", losses.suspicion}});
-  if (ports_.metrics == nullptr) return;
-  ports_.metrics->Count("lapishatch_tasks_lost_total",
-                        {{"reason", std::string(base::NameOf(reason))}});
+  if (dependencies_.metrics == nullptr) return;
+  dependencies_.metrics->Count("lapishatch_tasks_lost_total",
+                               {{"reason", std::string(base::NameOf(reason))}});
 }
 
 /// Whether a suspect task is known to be running on the worker.
 bool OwnedService::RunsSuspect(const base::WorkerName& name) const {
-  const auto members = book_.MembersOn(name);
+  const auto members = tracker_.MembersOn(name);
   return std::any_of(members.begin(), members.end(), [](const auto& it) {
     const auto& [unit, index] = it;
     const auto& member = JobTracker::MemberOf(*unit, index);
@@ -58,7 +58,7 @@
 std::vector<jobs::TaskName> OwnedService::TasksOn(
     const base::WorkerName& name) const {
   std::vector<jobs::TaskName> out;
-  for (const auto& [unit, index] : book_.MembersOn(name)) {
+  for (const auto& [unit, index] : tracker_.MembersOn(name)) {
     out.push_back(JobTracker::NameOf(
         *unit, static_cast<std::size_t>(index - unit->first_index)));
   }
@@ -66,23 +66,25 @@
 }
 
 DownWorkers OwnedService::FindDownWorkers() const {
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   DownWorkers out;
   for (const auto& [name, it] : recent_crashes_) {
     if (now - it.at < kCommonCauseWindow) out.workers.push_back(it.worker);
   }
   for (const auto& [name, worker] : workers_) {
     const auto& session = *worker.session;
-    const auto& entry = session.registration();
+    const auto& registration = session.registration();
     ++out.fleet_size;
     const auto fleet_worker = fleet_.workers().find(name);
     const bool has_suspects = fleet_worker != fleet_.workers().end() &&
                               fleet_worker->second.suspect_tasks > 0;
     if (!has_suspects) ++out.without_suspects;
-    const bool is_down = worker.is_registered && !entry.is_draining &&
+    const bool is_down = worker.is_registered && !registration.is_draining &&
                          session.has_answered() && !session.IsReachable();
     if (!is_down || recent_crashes_.contains(name)) continue;
-    if (!RunsSuspect(name)) out.workers.push_back({entry.rack, TasksOn(name)});
+    if (!RunsSuspect(name)) {
+      out.workers.push_back({registration.rack, TasksOn(name)});
+    }
   }
   return out;
 }
@@ -93,13 +95,13 @@
   const auto* worker = FindWorker(name);
   if (worker == nullptr || departures_.contains(name)) return;
   if (RunsSuspect(name)) return;
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   std::erase_if(recent_crashes_, [now](const auto& it) {
     return now - it.second.at >= kCommonCauseWindow;
   });
-  const auto& entry = worker->session->registration();
-  recent_crashes_[name] = {{entry.rack, TasksOn(name)}, now};
-  crash_history_.Add(entry.endpoint, now);
+  const auto& registration = worker->session->registration();
+  recent_crashes_[name] = {{registration.rack, TasksOn(name)}, now};
+  crash_history_.Add(registration.endpoint, now);
 }
 
 /// Reports and ends `members`, which were all on the lost worker. Losses are
@@ -112,7 +114,7 @@
   const auto rack = worker == nullptr ? base::RackName()
                                       : worker->session->registration().rack;
   const auto down = members.empty() ? DownWorkers{} : FindDownWorkers();
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   for (const auto& [unit, index] : members) {
     const auto tasks_of_other_units = std::count_if(
         members.begin(), members.end(),
@@ -130,12 +132,12 @@
                        : LossesOf(unit->losses, index - unit->first_index);
     ReportLostTask(*unit, index, tasks_of_other_units, reason, losses);
   }
-  for (const auto& [unit, index] : members) book_.OnLost(*unit, index, now);
+  for (const auto& [unit, index] : members) tracker_.OnLost(*unit, index, now);
 }
 
 void OwnedService::EndAllTasksOn(const base::WorkerName& name,
                                  WorkerLossReason reason) {
-  const auto members = book_.MembersOn(name);
+  const auto members = tracker_.MembersOn(name);
   base::Log(base::events::kWorkerGone, {{"service", service_.str()},
                                         {"worker", name},
                                         {"tasks", members.size()},
--- a/src/dispatch/owned_orders.cc
+++ b/src/dispatch/owned_orders.cc
@@ -39,19 +39,19 @@
   const auto decide = [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->RunDecisionRound();
   };
-  const auto wait = earliest_next_decision_ - ports_.loop.Now();
-  if (wait <= base::Duration(0)) return ports_.loop.Post(decide);
-  ports_.loop.After(wait, decide);
+  const auto wait = earliest_next_decision_ - dependencies_.loop.Now();
+  if (wait <= base::Duration(0)) return dependencies_.loop.Post(decide);
+  dependencies_.loop.After(wait, decide);
 }
 
 /// Plans starts and preemptions, records them, and sends starts and stops.
 void OwnedService::RunDecisionRound() {
   is_decision_round_scheduled_ = false;
-  const auto began = ports_.loop.Now();
+  const auto began = dependencies_.loop.Now();
   UpdateWorkerStates();
   PlannerDecisions decisions;
   if (MayStart()) {
-    const int under_way = book_.CountPendingStarts();
+    const int under_way = tracker_.CountPendingStarts();
     decisions = planner_.Decide(began, start_window_.size() - under_way);
     start_window_.RecordInFlight(under_way + CountTasks(decisions.starts));
   }
@@ -61,9 +61,9 @@
   if (!decisions.starts.empty()) SendStartsWhenRecorded(decisions.starts);
   LogEndedJobs();
   for (const auto& it : recorders_) it->ScheduleWrite();
-  const auto ended = ports_.loop.Now();
-  if (ports_.metrics != nullptr) {
-    ports_.metrics->Observe(
+  const auto ended = dependencies_.loop.Now();
+  if (dependencies_.metrics != nullptr) {
+    dependencies_.metrics->Observe(
         "lapishatch_decision_seconds", {{"service", service_.str()}},
         std::chrono::duration<double>(ended - began).count());
   }
@@ -78,7 +78,7 @@
   for (const auto& it : jobs) {
     by_partition[jobs::ProgressPartitionIndex(it)].push_back(it);
   }
-  if (by_partition.empty()) return ports_.loop.Post(done);
+  if (by_partition.empty()) return dependencies_.loop.Post(done);
   auto unrecorded_partitions =
       std::make_shared<std::size_t>(by_partition.size());
   const auto on_partition_recorded = [unrecorded_partitions, done] {
@@ -104,8 +104,8 @@
   std::map<int, PartitionStarts> by_partition;
   for (const auto* unit : units) {
     const auto& job = *unit->step_run->job;
-    if (ports_.metrics != nullptr && unit->last_run == 1) {
-      ports_.metrics->Observe(
+    if (dependencies_.metrics != nullptr && unit->last_run == 1) {
+      dependencies_.metrics->Observe(
           "lapishatch_first_start_wait_seconds",
           {{"organisation", job.job->organisation.str()},
            {"priority", std::to_string(job.job->priority)}},
@@ -150,11 +150,11 @@
   const bool is_within_capacity = IsWithinCapacity(member.worker);
   if (!may_send || !is_within_capacity) {
     if (member.state == MemberState::kPlanned) {
-      book_.OnRefused(*unit, task.index, ports_.loop.Now());
+      tracker_.OnRefused(*unit, task.index, dependencies_.loop.Now());
     } else if (!is_within_capacity) {
       // The worker may still execute an order that was sent before, so the unit
       // is stopped instead of being returned to the queue.
-      book_.Stop(*unit);
+      tracker_.Stop(*unit);
     }
     return ScheduleDecisionRound();
   }
@@ -169,8 +169,8 @@
   session.NoteLeaseExpiry(order.expires_at);
   member.state = MemberState::kUnconfirmed;
   member.start_expires_at = std::max(member.start_expires_at, order.expires_at);
-  member.start_sent_at = ports_.loop.Now();
-  ports_.worker_client.Start(
+  member.start_sent_at = dependencies_.loop.Now();
+  dependencies_.worker_client.Start(
       session.address(), std::move(order), options_.start_timeout,
       [weak = weak_from_this(), task, run,
        sent = member.start_sent_at](StartResult result) {
@@ -185,7 +185,7 @@
 /// starts. Starts that were not sent do not count.
 void OwnedService::UpdateStartWindow(const StartResult& result,
                                      base::TimePoint sent) {
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   if (std::holds_alternative<NotSent>(result)) return;
   const bool is_answered = !std::holds_alternative<NoAnswer>(result);
   const auto answer_time =
@@ -194,7 +194,7 @@
   base::Log(base::events::kStartWindowChanged,
             {{"service", service_.str()},
              {"starts", start_window_.size()},
-             {"under_way", book_.CountPendingStarts()}});
+             {"under_way", tracker_.CountPendingStarts()}});
 }
 
 void OwnedService::OnStartResult(const jobs::TaskName& task, int run,
@@ -203,7 +203,7 @@
   if (unit == nullptr) return;
   auto& member = JobTracker::MemberOf(*unit, task.index);
   auto* worker = FindWorker(member.worker);
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   if (std::holds_alternative<Started>(result)) {
     member.state = MemberState::kRunning;
     member.confirmed_at = now;
@@ -228,13 +228,13 @@
     if (worker != nullptr) {
       worker->paused_until = now + options_.refusal_backoff;
     }
-    book_.OnRefused(*unit, task.index, now);
+    tracker_.OnRefused(*unit, task.index, now);
     return ScheduleDecisionRound();
   }
   if (std::holds_alternative<NotSent>(result) &&
       member.unanswered_starts == 0) {
     if (worker != nullptr) worker->session->MarkUnreachable();
-    book_.OnRefused(*unit, task.index, now);
+    tracker_.OnRefused(*unit, task.index, now);
     return ScheduleDecisionRound();
   }
   ++member.unanswered_starts;
@@ -248,12 +248,12 @@
   if (member.unanswered_starts < options_.max_start_attempts) {
     return SendStart(task, run);
   }
-  book_.Stop(*unit);
+  tracker_.Stop(*unit);
   ScheduleDecisionRound();
 }
 
 void OwnedService::SendStops() {
-  for (auto* unit : book_.to_stop()) {
+  for (auto* unit : tracker_.to_stop()) {
     for (std::size_t i = 0; i < unit->members.size(); ++i) {
       auto& member = unit->members[i];
       const bool can_stop = member.state == MemberState::kUnconfirmed ||
@@ -269,7 +269,7 @@
                             const base::WorkerName& name) {
   auto* worker = FindWorker(name);
   if (worker == nullptr || !permissions_.may_renew()) return;
-  ports_.worker_client.Stop(
+  dependencies_.worker_client.Stop(
       worker->session->address(), {task, run, epoch_}, options_.stop_timeout,
       [weak = weak_from_this(), task, run, name](const StopResult& result) {
         const auto self = weak.lock();
@@ -290,11 +290,11 @@
   if (member.worker != name) return;
   if (std::holds_alternative<Stopped>(result)) {
     member.is_stop_confirmed = true;
-    member.confirmed_at = ports_.loop.Now();
+    member.confirmed_at = dependencies_.loop.Now();
   }
   // The worker normally reports the end before this delay has passed. If it
   // does not, the order may have been lost and is sent again.
-  ports_.loop.After(
+  dependencies_.loop.After(
       options_.stop_retry_interval, [weak = weak_from_this(), task, run] {
         const auto self = weak.lock();
         if (!self) return;
@@ -306,17 +306,17 @@
 }
 
 void OwnedService::LogEndedJobs() {
-  for (const auto& it : book_.TakeEnded()) {
-    if (const auto* job = book_.Find(it)) LogEndedJob(*job);
+  for (const auto& it : tracker_.TakeEnded()) {
+    if (const auto* job = tracker_.Find(it)) LogEndedJob(*job);
   }
 }
 
 void OwnedService::LogEndedJob(const JobEntry& job) {
   if (!IsFinal(job.state) || ended_at_.contains(job.job->name)) return;
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   ended_at_.emplace(job.job->name, now);
-  if (ports_.metrics != nullptr) {
-    ports_.metrics->Observe(
+  if (dependencies_.metrics != nullptr) {
+    dependencies_.metrics->Observe(
         "lapishatch_job_seconds",
         {{"organisation", job.job->organisation.str()},
          {"priority", std::to_string(job.job->priority)},
--- a/src/dispatch/owned_service.cc
+++ b/src/dispatch/owned_service.cc
@@ -20,23 +20,23 @@
 
 }  // namespace
 
-OwnedService::OwnedService(const ServiceOwnerDependencies& ports,
+OwnedService::OwnedService(const ServiceOwnerDependencies& dependencies,
                            base::ServiceName service, Epoch epoch,
                            bool is_former_owner_gone,
                            const ServiceOwnerOptions& options,
                            OwnerPermissions permissions)
-    : ports_(ports),
+    : dependencies_(dependencies),
       service_(std::move(service)),
       epoch_(epoch),
       is_former_owner_gone_(is_former_owner_gone),
       options_(options),
       permissions_(std::move(permissions)),
-      acquired_at_(ports.loop.Now()),
-      book_(fleet_),
-      planner_(book_, fleet_, PlannerOptionsFor(options.bounds)),
+      acquired_at_(dependencies.loop.Now()),
+      tracker_(fleet_),
+      planner_(tracker_, fleet_, PlannerOptionsFor(options.bounds)),
       session_options_(SessionOptionsFor(options.bounds)),
       loader_(
-          ports.loop, ports.store, service_, epoch,
+          dependencies.loop, dependencies.store, service_, epoch,
           [this](LoadedService loaded) { OnLoaded(std::move(loaded)); },
           [this](const std::string& reason) { GiveUpOwnership(reason); }) {}
 
@@ -48,7 +48,7 @@
 void OwnedService::GiveUpOwnership(const std::string& reason) {
   // `on_lost` destroys this object, so it is called only after the present
   // callback has returned.
-  ports_.loop.Post([weak = weak_from_this(), reason] {
+  dependencies_.loop.Post([weak = weak_from_this(), reason] {
     if (const auto self = weak.lock()) self->permissions_.on_lost(reason);
   });
 }
@@ -61,20 +61,20 @@
   for (int i = 0; i < jobs::kProgressPartitionCount; ++i) {
     const auto index = static_cast<std::size_t>(i);
     recorders_.push_back(std::make_unique<Recorder>(
-        ports_.loop, ports_.store, partitions[index], i,
-        loaded.fence_versions[index], book_, RecorderOptions{},
+        dependencies_.loop, dependencies_.store, partitions[index], i,
+        loaded.fence_versions[index], tracker_, RecorderOptions{},
         [this](const std::string& reason) { GiveUpOwnership(reason); }));
   }
-  waiting_counter_.emplace(ports_.loop, ports_.store,
+  waiting_counter_.emplace(dependencies_.loop, dependencies_.store,
                            jobs::WaitingCountsPartition(service_),
-                           loaded.fence_versions.front(), book_);
+                           loaded.fence_versions.front(), tracker_);
   FollowRequests();
 }
 
 void OwnedService::FollowRequests() {
   const auto weak = weak_from_this();
   request_follower_.emplace(
-      ports_.loop, ports_.store, std::string(jobs::kRequestTable),
+      dependencies_.loop, dependencies_.store, std::string(jobs::kRequestTable),
       jobs::RequestPartitions(service_), options_.lease.follow,
       store::FollowerEvents{
           [weak](const std::vector<StoredRow>& rows, store::RowVersion) {
@@ -95,12 +95,13 @@
   if (!is_loaded_) {
     is_loaded_ = true;
     RemoveOrphanedProgress(rows);
-    base::Log(base::events::kServiceLoaded,
-              {{"service", service_.str()},
-               {"epoch", epoch_},
-               {"jobs", book_.jobs().size()},
-               {"workers", workers_.size()},
-               {"after_ms", (ports_.loop.Now() - acquired_at_).count()}});
+    base::Log(
+        base::events::kServiceLoaded,
+        {{"service", service_.str()},
+         {"epoch", epoch_},
+         {"jobs", tracker_.jobs().size()},
+         {"workers", workers_.size()},
+         {"after_ms", (dependencies_.loop.Now() - acquired_at_).count()}});
     waiting_counter_->Start();
     for (auto& [name, worker] : workers_) worker.session->Start();
   }
@@ -114,7 +115,7 @@
   }
   if (row.is_deleted) return;
   const base::JobName name(row.address.key);
-  if (book_.Find(name) != nullptr) return;
+  if (tracker_.Find(name) != nullptr) return;
   auto job = jobs::DecodeJob(row.value);
   if (!job) {
     base::Log(base::events::kRowUnreadable, {{"key", row.address.key}});
@@ -135,38 +136,39 @@
   // age is limited to a plausible range.
   constexpr base::Duration kMaxAge{600'000};
   const auto age =
-      std::clamp(base::Duration(ports_.unix_ms() - job->accepted_ms),
+      std::clamp(base::Duration(dependencies_.unix_ms() - job->accepted_ms),
                  base::Duration(0), kMaxAge);
-  const auto* entry = book_.Add(
+  const auto* entry = tracker_.Add(
       std::make_shared<const jobs::Job>(std::move(*job)),
-      progress ? &*progress : nullptr, version, age, ports_.loop.Now());
+      progress ? &*progress : nullptr, version, age, dependencies_.loop.Now());
   // The owner that recorded the end has logged it, so it is not logged again.
-  if (IsFinal(entry->state)) ended_at_.emplace(name, ports_.loop.Now());
+  if (IsFinal(entry->state)) ended_at_.emplace(name, dependencies_.loop.Now());
 }
 
 void OwnedService::OnCancelRequest(const base::JobName& name) {
-  auto* job = book_.Find(name);
+  auto* job = tracker_.Find(name);
   if (job == nullptr || IsFinal(job->state)) return;
   base::Log(base::events::kJobCancelled,
             {{"request", name}, {"service", service_.str()}});
-  book_.Cancel(*job);
+  tracker_.Cancel(*job);
 }
 
 // Periodic work.
 
 void OwnedService::Tick() {
   if (is_loaded_) {
-    book_.ActivateDueOccurrences(ports_.unix_ms(), ports_.loop.Now());
+    tracker_.ActivateDueOccurrences(dependencies_.unix_ms(),
+                                    dependencies_.loop.Now());
     HandleExpiredLeases();
     UpdateSilentDomains();
     StopStalledUnits();
     HandleEvacuationChanges();
     StopUnitsOnDrainingWorkers();
-    worker_health_.ReleaseExpired(ports_.loop.Now());
+    worker_health_.ReleaseExpired(dependencies_.loop.Now());
     RemoveExpiredJobs();
     ScheduleDecisionRound();
   }
-  ports_.loop.After(options_.tick_interval, [weak = weak_from_this()] {
+  dependencies_.loop.After(options_.tick_interval, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->Tick();
   });
 }
@@ -174,22 +176,22 @@
 /// Removes jobs that ended more than `keep_ended` ago, and their rows, unless a
 /// task of theirs may still run or their progress is not recorded.
 void OwnedService::RemoveExpiredJobs() {
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   std::vector<base::JobName> expired;
   for (const auto& [name, at] : ended_at_) {
     if (now - at > options_.ended_job_retention) expired.push_back(name);
   }
   for (const auto& name : expired) {
-    auto* job = book_.Find(name);
+    auto* job = tracker_.Find(name);
     const bool is_active =
-        std::any_of(book_.active().begin(), book_.active().end(),
+        std::any_of(tracker_.active().begin(), tracker_.active().end(),
                     [job](const Unit* it) { return it->step_run->job == job; });
     const auto& recorder =
         *recorders_[static_cast<std::size_t>(job->partition)];
     if (is_active || !recorder.IsRecorded(name)) continue;
     RemoveJobRows(name);
     ended_at_.erase(name);
-    book_.Remove(name);
+    tracker_.Remove(name);
   }
 }
 
@@ -209,12 +211,13 @@
 void OwnedService::RemoveProgressRow(const base::JobName& name) {
   const auto partition =
       static_cast<std::size_t>(jobs::ProgressPartitionIndex(name));
-  ports_.store.Commit({jobs::ProgressPartition(service_, name),
-                       {{std::string(kOwnerTable), std::string(kFenceKey),
-                         recorders_[partition]->fence_version()}},
-                       {},
-                       {{std::string(jobs::kProgressTable), name.str()}}},
-                      [](const store::RowsResult&) {});
+  dependencies_.store.Commit(
+      {jobs::ProgressPartition(service_, name),
+       {{std::string(kOwnerTable), std::string(kFenceKey),
+         recorders_[partition]->fence_version()}},
+       {},
+       {{std::string(jobs::kProgressTable), name.str()}}},
+      [](const store::RowsResult&) {});
 }
 
 /// Removes a job's rows, its request first, because a request without progress
@@ -222,7 +225,7 @@
 /// the next owner removes it.
 void OwnedService::RemoveJobRows(const base::JobName& name) {
   const std::string requests(jobs::kRequestTable);
-  ports_.store.Commit(
+  dependencies_.store.Commit(
       {jobs::RequestPartition(service_, name),
        {},
        {},
--- a/src/dispatch/owned_workers.cc
+++ b/src/dispatch/owned_workers.cc
@@ -13,62 +13,66 @@
   return it == workers_.end() ? nullptr : &it->second;
 }
 
-void OwnedService::PutWorker(const WorkerRegistration& entry) {
-  if (entry.service != service_) return;
-  auto& worker = workers_[entry.name];
+void OwnedService::PutWorker(const WorkerRegistration& registration) {
+  if (registration.service != service_) return;
+  auto& worker = workers_[registration.name];
   // Most rows of the feed are heartbeats that change nothing.
   const bool is_unchanged = worker.session && worker.is_registered &&
-                            worker.session->registration() == entry;
+                            worker.session->registration() == registration;
   if (is_unchanged) return;
-  HandleCapacityChange(entry);
-  fleet_.Put(entry);
+  HandleCapacityChange(registration);
+  fleet_.Put(registration);
   worker.is_registered = true;
   if (!worker.session) {
-    OpenSession(entry);
-    return RecordDeparture(entry);
+    OpenSession(registration);
+    return RecordDeparture(registration);
   }
-  worker.session->SetRegistration(entry);
-  RecordDeparture(entry);
+  worker.session->SetRegistration(registration);
+  RecordDeparture(registration);
   ScheduleDecisionRound();
 }
 
 /// Logs a change of capacity. A reduction drops the reservations on the worker:
 /// the tasks being stopped for them may no longer free enough room.
-void OwnedService::HandleCapacityChange(const WorkerRegistration& entry) {
-  const auto* fleet_worker = fleet_.Find(entry.name);
+void OwnedService::HandleCapacityChange(
+    const WorkerRegistration& registration) {
+  const auto* fleet_worker = fleet_.Find(registration.name);
   if (fleet_worker == nullptr || !fleet_worker->is_known) return;
-  if (fleet_worker->capacity == entry.capacity) return;
-  const bool is_reduction = !entry.capacity.Covers(fleet_worker->capacity);
+  if (fleet_worker->capacity == registration.capacity) return;
+  const bool is_reduction =
+      !registration.capacity.Covers(fleet_worker->capacity);
   base::Log(base::events::kCapacityChanged,
             {{"service", service_.str()},
-             {"worker", entry.name},
-             {"cpu_millis", entry.capacity.cpu_millis},
-             {"memory_mb", entry.capacity.memory_mb},
-             {"accelerators", entry.capacity.accelerators},
-             {"tasks", book_.MembersOn(entry.name).size()}});
-  if (is_reduction) book_.DropReservationsOn(entry.name);
+             {"worker", registration.name},
+             {"cpu_millis", registration.capacity.cpu_millis},
+             {"memory_mb", registration.capacity.memory_mb},
+             {"accelerators", registration.capacity.accelerators},
+             {"tasks", tracker_.MembersOn(registration.name).size()}});
+  if (is_reduction) tracker_.DropReservationsOn(registration.name);
 }
 
-/// Records when a draining worker may leave. Its entry states the least time
-/// for which it stays, and may be as old as the interval between two feed
+/// Records when a draining worker may leave. Its registration states the least
+/// time for which it stays, and may be as old as the interval between two feed
 /// reads, so the earliest of the resulting times is kept.
-void OwnedService::RecordDeparture(const WorkerRegistration& entry) {
-  if (!entry.is_draining || !entry.remaining_time) return;
-  const auto departs_at = ports_.loop.Now() + *entry.remaining_time;
-  const auto [it, is_new] = departures_.try_emplace(entry.name, departs_at);
+void OwnedService::RecordDeparture(const WorkerRegistration& registration) {
+  if (!registration.is_draining || !registration.remaining_time) return;
+  const auto departs_at =
+      dependencies_.loop.Now() + *registration.remaining_time;
+  const auto [it, is_new] =
+      departures_.try_emplace(registration.name, departs_at);
   it->second = std::min(it->second, departs_at);
   if (!is_new) return;
   base::Log(base::events::kWorkerLeaving,
             {{"service", service_.str()},
-             {"worker", entry.name},
-             {"tasks", book_.MembersOn(entry.name).size()},
-             {"stays_ms", entry.remaining_time->count()}});
+             {"worker", registration.name},
+             {"tasks", tracker_.MembersOn(registration.name).size()},
+             {"stays_ms", registration.remaining_time->count()}});
 }
 
 /// Stops the units that would be lost when a draining worker leaves.
 void OwnedService::StopUnitsOnDrainingWorkers() {
-  const auto now = ports_.loop.Now();
-  for (auto* unit : FindUnitsToDrain(book_, departures_, {}, now)) {
+  const auto now = dependencies_.loop.Now();
+  for (auto* unit : FindUnitsToDrain(tracker_, departures_, {}, now)) {
     const auto task = JobTracker::NameOf(*unit, 0);
     base::Log(
         base::events::kUnitDrained,
@@ -78,13 +82,13 @@
          {"tasks", unit->members.size()},
          {"left_ms", RemainingWork(*unit, unit->members.front(), now).count()},
          {"saved", !unit->checkpoint.empty()}});
-    book_.Stop(*unit);
+    tracker_.Stop(*unit);
   }
 }
 
-void OwnedService::OpenSession(const WorkerRegistration& entry) {
+void OwnedService::OpenSession(const WorkerRegistration& registration) {
   const auto weak = weak_from_this();
-  const auto name = entry.name;
+  const auto name = registration.name;
   WorkerSession::Events events;
   events.on_report = [weak, name](const WorkerReport& report, TimePoint sent) {
     if (const auto self = weak.lock()) self->OnWorkerReport(name, report, sent);
@@ -100,16 +104,16 @@
     self->EndAllTasksOn(name, WorkerLossReason::kRestarted);
     self->fleet_.Remove(name);
     self->departures_.erase(name);
-    self->ports_.loop.Post([weak, name] {
+    self->dependencies_.loop.Post([weak, name] {
       if (const auto owned = weak.lock()) owned->workers_.erase(name);
     });
   };
   events.may_renew = permissions_.may_renew;
-  events.max_lease = permissions_.max_worker_lease;
+  events.max_lease = permissions_.max_lease;
   auto& worker = workers_[name];
-  worker.session =
-      std::make_unique<WorkerSession>(ports_.loop, ports_.worker_client, entry,
-                                      epoch_, session_options_, events);
+  worker.session = std::make_unique<WorkerSession>(
+      dependencies_.loop, dependencies_.worker_client, registration, epoch_,
+      session_options_, events);
   if (is_loaded_) worker.session->Start();
 }
 
@@ -119,22 +123,22 @@
 }
 
 bool OwnedService::IsInEvacuatedDomain(const Worker& worker) const {
-  if (!ports_.evacuations) return false;
-  return ports_.evacuations().domains.contains(
+  if (!dependencies_.evacuations) return false;
+  return dependencies_.evacuations().domains.contains(
       worker.session->registration().domain);
 }
 
 bool OwnedService::HasFreshEvacuations() const {
-  if (!ports_.evacuations) return true;
-  const auto& evacuations = ports_.evacuations();
+  if (!dependencies_.evacuations) return true;
+  const auto& evacuations = dependencies_.evacuations();
   return evacuations.as_of >= epoch_ &&
-         ports_.loop.Now() - evacuations.confirmed_at <
+         dependencies_.loop.Now() - evacuations.confirmed_at <
              options_.max_evacuations_age;
 }
 
 bool OwnedService::HasFreshRegistrations() const {
-  if (!ports_.registrations_read_at) return true;
-  return ports_.loop.Now() - ports_.registrations_read_at() <
+  if (!dependencies_.registrations_read_at) return true;
+  return dependencies_.loop.Now() - dependencies_.registrations_read_at() <
          options_.max_registrations_age;
 }
 
@@ -150,21 +154,21 @@
 /// Logs changes of the evacuations and schedules a decision round if the set of
 /// evacuated domains has changed.
 void OwnedService::HandleEvacuationChanges() {
-  if (!ports_.evacuations) return;
+  if (!dependencies_.evacuations) return;
   if (HasFreshEvacuations() != had_fresh_evacuations_) {
     had_fresh_evacuations_ = !had_fresh_evacuations_;
     base::Log(had_fresh_evacuations_ ? base::events::kEvacuationsKnown
                                      : base::events::kEvacuationsUnknown,
               {{"service", service_.str()},
-               {"as_of", ports_.evacuations().as_of},
+               {"as_of", dependencies_.evacuations().as_of},
                {"epoch", epoch_}});
   }
-  const auto& domains = ports_.evacuations().domains;
+  const auto& domains = dependencies_.evacuations().domains;
   if (domains == logged_evacuated_domains_) return;
   logged_evacuated_domains_ = domains;
   std::size_t tasks = 0;
   for (const auto& [name, worker] : workers_) {
-    if (IsInEvacuatedDomain(worker)) tasks += book_.MembersOn(name).size();
+    if (IsInEvacuatedDomain(worker)) tasks += tracker_.MembersOn(name).size();
   }
   base::Log(base::events::kServiceEvacuates, {{"service", service_.str()},
                                               {"domains", domains.size()},
@@ -184,7 +188,7 @@
     polls.push_back({session.registration().domain, session.LastAnswerTime(),
                      session.AnswerDueTime()});
   }
-  auto silent = FindSilentDomains(polls, {}, ports_.loop.Now());
+  auto silent = FindSilentDomains(polls, {}, dependencies_.loop.Now());
   if (silent == silent_domains_) return;
   for (const auto& it : silent) {
     if (silent_domains_.contains(it)) continue;
@@ -205,7 +209,7 @@
 /// evacuated or silent domain, has answered recently and has not recently
 /// refused a start. `workers_` and the fleet are both ordered by name.
 void OwnedService::UpdateWorkerStates() {
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   auto it = workers_.begin();
   for (auto& [name, fleet_worker] : fleet_.workers()) {
     while (it != workers_.end() && it->first < name) ++it;
@@ -240,7 +244,7 @@
       OnTaskRunning(name, it, sent);
       continue;
     }
-    if (auto* stray_unit = book_.FindUnit(it.task)) {
+    if (auto* stray_unit = tracker_.FindUnit(it.task)) {
       strays += ResourcesPerTask(*stray_unit->step_run->step);
     }
     SendStop(it.task, it.run, name);
@@ -265,7 +269,7 @@
 }
 
 Unit* OwnedService::FindUnitOfRun(const jobs::TaskName& task, int run) {
-  auto* unit = book_.FindUnit(task);
+  auto* unit = tracker_.FindUnit(task);
   if (unit == nullptr || unit->members.empty() || unit->last_run != run) {
     return nullptr;
   }
@@ -283,11 +287,11 @@
       task.percent != member.percent || member.state != MemberState::kRunning;
   if (has_progress) {
     member.percent = task.percent;
-    member.last_progress_at = ports_.loop.Now();
+    member.last_progress_at = dependencies_.loop.Now();
   }
   if (member.first_seen_at == TimePoint{}) {
     member.first_percent = task.percent;
-    member.first_seen_at = ports_.loop.Now();
+    member.first_seen_at = dependencies_.loop.Now();
   }
   if (member.state == MemberState::kRunning) return;
   member.state = MemberState::kRunning;
@@ -301,9 +305,9 @@
       unit != nullptr &&
       JobTracker::MemberOf(*unit, end.task.index).worker == name;
   if (!is_current_run) {
-    auto* known_unit = book_.FindUnit(end.task);
+    auto* known_unit = tracker_.FindUnit(end.task);
     if (known_unit == nullptr || end.outcome != TaskOutcome::kDone) return;
-    book_.OnEarlierRunDone(*known_unit, end.run, ports_.loop.Now());
+    tracker_.OnEarlierRunDone(*known_unit, end.run, dependencies_.loop.Now());
     return;
   }
   if (end.outcome != TaskOutcome::kDone) {
@@ -313,17 +317,18 @@
                                          {"worker", name},
                                          {"how", base::NameOf(end.outcome)}});
   }
-  if (ports_.metrics != nullptr) {
-    ports_.metrics->Count("lapishatch_task_ends_total",
-                          {{"how", std::string(base::NameOf(end.outcome))}});
+  if (dependencies_.metrics != nullptr) {
+    dependencies_.metrics->Count(
+        "lapishatch_task_ends_total",
+        {{"how", std::string(base::NameOf(end.outcome))}});
   }
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   if (worker_health_.OnEnded(name, end.task.job, end.outcome, workers_.size(),
                              now)) {
     base::Log(base::events::kWorkerPutOut,
               {{"service", service_.str()}, {"worker", name}});
   }
-  book_.OnEnded(*unit, end.task.index, end.outcome, end.checkpoint, now);
+  tracker_.OnEnded(*unit, end.task.index, end.outcome, end.checkpoint, now);
 }
 
 /// Marks as over the members that the worker reports neither as running nor as
@@ -331,7 +336,7 @@
 void OwnedService::EndUnreportedTasks(const base::WorkerName& name,
                                       const WorkerReport& report,
                                       TimePoint sent) {
-  for (const auto& it : book_.MembersOn(name)) {
+  for (const auto& it : tracker_.MembersOn(name)) {
     auto* unit = it.first;
     const int index = it.second;
     auto& member = JobTracker::MemberOf(*unit, index);
@@ -356,7 +361,7 @@
                                             {"task", TextOf(task)},
                                             {"run", unit->last_run},
                                             {"worker", name}});
-    book_.OnVanished(*unit, index, ports_.loop.Now());
+    tracker_.OnVanished(*unit, index, dependencies_.loop.Now());
   }
 }
 
@@ -364,9 +369,9 @@
 /// other workers. The worker of such a task makes no progress although it
 /// answers and its lease is renewed.
 void OwnedService::StopStalledUnits() {
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   std::vector<Unit*> stalled_units;
-  for (auto* unit : book_.active()) {
+  for (auto* unit : tracker_.active()) {
     const auto& step = *unit->step_run->step;
     if (unit->is_stopping || unit->phase == jobs::UnitPhase::kDone) continue;
     if (step.is_service) continue;
@@ -402,14 +407,14 @@
                {"task", TextOf(task)},
                {"run", unit->last_run},
                {"worker", *unit->failed_workers.begin()}});
-    book_.Stop(*unit);
+    tracker_.Stop(*unit);
   }
 }
 
 /// Ends the tasks on workers whose leases have certainly expired, and removes
 /// such workers if they are no longer registered.
 void OwnedService::HandleExpiredLeases() {
-  const auto now = ports_.loop.Now();
+  const auto now = dependencies_.loop.Now();
   // Worker leases granted by a former owner end at most `outage_lease_limit`
   // after its last renewal of the service's row. That renewal happened at least
   // one row lease before this owner acquired the row. A former owner that is
@@ -430,7 +435,7 @@
                                 ? it.HasLeaseExpired()
                                 : now - acquired_at_ > unanswered_expiry;
     if (!has_lapsed) continue;
-    if (!book_.MembersOn(name).empty()) {
+    if (!tracker_.MembersOn(name).empty()) {
       EndAllTasksOn(name, WorkerLossReason::kLeaseExpired);
     }
     if (!worker.is_registered) to_remove.push_back(name);
@@ -444,7 +449,7 @@
   if (now - acquired_at_ <= unanswered_expiry) return;
   // Recorded starts on workers that never registered under this epoch.
   std::map<base::WorkerName, Members> lost;
-  for (auto* unit : book_.active()) {
+  for (auto* unit : tracker_.active()) {
     for (std::size_t i = 0; i < unit->members.size(); ++i) {
       const auto& it = unit->members[i];
       if (it.state == MemberState::kTerminated ||
--- a/src/dispatch/owner_lease.cc
+++ b/src/dispatch/owner_lease.cc
@@ -192,7 +192,9 @@
   /// The feed may be ahead of the answers to this holder's own renewals, so
   /// only the epoch shows that another process has taken the service.
   void CheckStillOwner() {
-    if (epoch_ && epoch_row_ > *epoch_) MarkLost("another process took it");
+    if (epoch_ && epoch_row_ > *epoch_) {
+      MarkLost("another process has acquired the lease");
+    }
   }
 
   base::Duration RandomDelay() {
@@ -317,7 +319,7 @@
     }
     const auto* conflict = std::get_if<RowsConflict>(&result);
     if (conflict != nullptr && !IsStillOwner(conflict->present)) {
-      return MarkLost("another process took it");
+      return MarkLost("another process has acquired the lease");
     }
     ScheduleRenewal(conflict != nullptr ? base::Duration(0)
                                         : options_.retry_interval);
--- a/src/dispatch/recorder.cc
+++ b/src/dispatch/recorder.cc
@@ -29,14 +29,14 @@
 class Recorder::Impl : public std::enable_shared_from_this<Impl> {
  public:
   Impl(base::EventLoop& loop, store::RowStore& store, std::string partition,
-       int partition_index, RowVersion fence_version, JobTracker& book,
+       int partition_index, RowVersion fence_version, JobTracker& tracker,
        RecorderOptions options, std::function<void(const std::string&)> on_lost)
       : loop_(loop),
         store_(store),
         partition_(std::move(partition)),
         fence_version_(fence_version),
-        book_(book),
-        dirty_(book.dirty(partition_index)),
+        tracker_(tracker),
+        dirty_(tracker.dirty(partition_index)),
         options_(options),
         on_lost_(std::move(on_lost)),
         random_(fence_version),
@@ -60,7 +60,7 @@
                     std::function<void()> done) {
     Waiter waiter;
     for (const auto& name : jobs) {
-      auto* job = book_.Find(name);
+      auto* job = tracker_.Find(name);
       if (job == nullptr) continue;
       if (dirty_.contains(job)) {
         waiter.batches[name] = batch_number_ + 1;
@@ -77,7 +77,7 @@
   RowVersion fence_version() const { return fence_version_; }
 
   bool IsRecorded(const base::JobName& name) const {
-    auto* job = book_.Find(name);
+    auto* job = tracker_.Find(name);
     return !dirty_.contains(job) && !writing_.contains(name);
   }
 
@@ -119,7 +119,7 @@
       auto* job = it->first;
       it = dirty_.erase(it);
       const auto& key = job->job->name.str();
-      auto value = EncodeProgress(book_.ProgressOf(*job));
+      auto value = EncodeProgress(tracker_.ProgressOf(*job));
       bytes += value.size();
       out.conditions.push_back({table, key, job->row_version});
       out.puts.push_back({table, key, std::move(value)});
@@ -156,7 +156,7 @@
   void OnCommitted(RowVersion version) {
     backoff_.Reset();
     for (const auto& name : writing_) {
-      if (auto* job = book_.Find(name)) job->row_version = version;
+      if (auto* job = tracker_.Find(name)) job->row_version = version;
     }
     const auto written = std::exchange(writing_, {});
     const auto weak = weak_from_this();
@@ -199,10 +199,10 @@
       }
     }
     if (fence != fence_version_) {
-      return on_lost_("the store's fence row shows another owner");
+      return on_lost_("the fence row in the store belongs to another owner");
     }
     for (const auto& name : writing_) {
-      auto* job = book_.Find(name);
+      auto* job = tracker_.Find(name);
       if (job == nullptr) continue;
       const auto it = versions.find(name.str());
       job->row_version = it == versions.end() ? store::kAbsent : it->second;
@@ -214,7 +214,7 @@
     base::Log(base::events::kRecordDelayed,
               {{"part", partition_}, {"detail", detail}});
     for (const auto& name : writing_) {
-      if (auto* job = book_.Find(name)) dirty_[job] = loop_.Now();
+      if (auto* job = tracker_.Find(name)) dirty_[job] = loop_.Now();
     }
     writing_.clear();
     is_backing_off_ = true;
@@ -225,7 +225,7 @@
   store::RowStore& store_;
   const std::string partition_;
   const RowVersion fence_version_;
-  JobTracker& book_;
+  JobTracker& tracker_;
   JobTracker::DirtyJobs& dirty_;
   const RecorderOptions options_;
   const std::function<void(const std::string&)> on_lost_;
@@ -248,11 +248,11 @@
 
 Recorder::Recorder(base::EventLoop& loop, store::RowStore& store,
                    std::string partition, int partition_index,
-                   store::RowVersion fence_version, JobTracker& book,
+                   store::RowVersion fence_version, JobTracker& tracker,
                    RecorderOptions options,
                    std::function<void(const std::string&)> on_lost)
     : impl_(std::make_shared<Impl>(loop, store, std::move(partition),
-                                   partition_index, fence_version, book,
+                                   partition_index, fence_version, tracker,
                                    options, std::move(on_lost))) {}
 
 Recorder::~Recorder() = default;
--- a/src/dispatch/service_loader.cc
+++ b/src/dispatch/service_loader.cc
@@ -72,7 +72,7 @@
     if (conflict->present.empty()) return Fence(partition, store::kAbsent);
     const auto& row = conflict->present.front();
     const auto other = std::strtoull(row.value.c_str(), nullptr, 10);
-    if (other > epoch_) return on_lost_("a later owner has fenced a part");
+    if (other > epoch_) return on_lost_("a later owner has fenced a partition");
     if (other < epoch_) return Fence(partition, row.version);
     // An earlier attempt was committed although its answer was lost.
     loaded_.fence_versions[partition] = row.version;
--- a/src/dispatch/service_owner.cc
+++ b/src/dispatch/service_owner.cc
@@ -55,7 +55,7 @@
               {{"service", service_.str()},
                {"epoch", epoch},
                {"former_is_gone", predecessor_stopped ? "yes" : "unknown"}});
-    const internal::OwnerPermissions rights{
+    const internal::OwnerPermissions permissions{
         [this] { return lease_.IsValid(); },
         [this] {
           return lease_.is_holder() &&
@@ -66,7 +66,8 @@
         },
         [this](const std::string& reason) { lease_.MarkLost(reason); }};
     owned_ = std::make_shared<internal::OwnedService>(
-        dependencies_, service_, epoch, predecessor_stopped, options_, rights);
+        dependencies_, service_, epoch, predecessor_stopped, options_,
+        permissions);
     owned_->SetGuarantees(guarantees_);
     for (const auto& [name, registration] : workers_) {
       owned_->PutWorker(registration);
--- a/src/dispatch/silent_domains.cc
+++ b/src/dispatch/silent_domains.cc
@@ -13,11 +13,11 @@
     int missing = 0;
   };
   std::map<base::DomainName, Domain> domains;
-  base::TimePoint newest{};
+  base::TimePoint last_answer_of_any{};
   for (const auto& it : polls) {
     auto& domain = domains[it.domain];
     domain.last_answer = std::max(domain.last_answer, it.last_answer);
-    newest = std::max(newest, it.last_answer);
+    last_answer_of_any = std::max(last_answer_of_any, it.last_answer);
   }
   for (const auto& it : polls) {
     auto& domain = domains[it.domain];
@@ -25,15 +25,15 @@
                             it.answer_due > domain.last_answer;
     if (is_missing) ++domain.missing;
   }
-  std::set<base::DomainName> out;
+  std::set<base::DomainName> silent_domains;
   for (const auto& [name, domain] : domains) {
     const bool others_answer =
-        newest >= domain.last_answer + options.answer_grace;
+        last_answer_of_any >= domain.last_answer + options.answer_grace;
     if (others_answer && domain.missing >= options.min_missing) {
-      out.insert(name);
+      silent_domains.insert(name);
     }
   }
-  return out;
+  return silent_domains;
 }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/start_window.cc
+++ b/src/dispatch/start_window.cc
@@ -27,10 +27,10 @@
 }
 
 bool StartWindow::Resize(double factor) {
-  const int wanted = static_cast<int>(size_ * factor);
-  const int before = size_;
-  size_ = std::clamp(wanted, options_.min_size, options_.max_size);
-  return size_ != before;
+  const int new_size = static_cast<int>(size_ * factor);
+  const int old_size = size_;
+  size_ = std::clamp(new_size, options_.min_size, options_.max_size);
+  return size_ != old_size;
 }
 
 }  // namespace lapishatch::dispatch::internal
--- a/src/dispatch/waiting_count_writer.cc
+++ b/src/dispatch/waiting_count_writer.cc
@@ -19,11 +19,11 @@
 
 class WaitingCountWriter::Impl : public std::enable_shared_from_this<Impl> {
  public:
-  Impl(base::EventLoop& loop, store::RowStore& store, std::string part,
+  Impl(base::EventLoop& loop, store::RowStore& store, std::string partition,
        RowVersion fence, const JobTracker& tracker)
       : loop_(loop),
         store_(store),
-        part_(std::move(part)),
+        partition_(std::move(partition)),
         fence_(fence),
         tracker_(tracker) {}
 
@@ -32,7 +32,7 @@
     if (counts == written_) return ScheduleNext();
     const std::string table(jobs::kWaitingCountsTable);
     const std::string key(jobs::kWaitingCountsKey);
-    store_.Commit({part_,
+    store_.Commit({partition_,
                    {{std::string(kOwnerTable), std::string(kFenceKey), fence_},
                     {table, key, version_}},
                    {{table, key, counts}},
@@ -68,7 +68,7 @@
 
   base::EventLoop& loop_;
   store::RowStore& store_;
-  const std::string part_;
+  const std::string partition_;
   const RowVersion fence_;
   const JobTracker& tracker_;
   std::string written_;
@@ -76,10 +76,10 @@
 };
 
 WaitingCountWriter::WaitingCountWriter(base::EventLoop& loop,
-                                       store::RowStore& store, std::string part,
-                                       RowVersion fence,
+                                       store::RowStore& store,
+                                       std::string partition, RowVersion fence,
                                        const JobTracker& tracker)
-    : impl_(std::make_shared<Impl>(loop, store, std::move(part), fence,
+    : impl_(std::make_shared<Impl>(loop, store, std::move(partition), fence,
                                    tracker)) {}
 
 WaitingCountWriter::~WaitingCountWriter() = default;
--- a/test/dispatch/bounds_test.cc
+++ b/test/dispatch/bounds_test.cc
@@ -17,10 +17,11 @@
   Bounds bounds;
   bounds.stop_timeout = bounds.max_lease;
   CHECK(ValidateBounds(bounds) ==
-        "a task must be stopped before its lease runs out");
+        "the timeout for stopping a task must be below the longest lease");
   bounds = Bounds{};
   bounds.remote_factor = 0.5;
-  CHECK(ValidateBounds(bounds) == "work off its rack cannot be faster");
+  CHECK(ValidateBounds(bounds) ==
+        "the factor for work outside its rack must be at least 1");
 }
 
 /// Covers 100 ms to 3 s to stop a task and 1 s to 10 s to start guaranteed
--- a/test/dispatch/owner_test.cc
+++ b/test/dispatch/owner_test.cc
@@ -393,10 +393,10 @@
 TEST_CASE("a worker that moves to another service gets no more tasks") {
   OwnerWorld world(1, 1);
   world.RunFor(1'000);
-  WorkerRegistration entry;
-  entry.name = OwnerWorld::WorkerNameAt(0);
-  entry.service = base::ServiceName("another");
-  world.owner("vm0").PutWorker(entry);
+  WorkerRegistration registration;
+  registration.name = OwnerWorld::WorkerNameAt(0);
+  registration.service = base::ServiceName("another");
+  world.owner("vm0").PutWorker(registration);
   world.Submit(OwnerWorld::MakeJob("plan", 1, 1));
   world.RunFor(3'000);
   CHECK(world.workers().starts(TaskOf("plan", 0)) == 0);
@@ -422,13 +422,13 @@
   world.StartOwner("vm1");
   world.RunFor(3'000);
   // The worker is registered again, and the tasks recorded on it end.
-  WorkerRegistration entry;
-  entry.name = OwnerWorld::WorkerNameAt(0);
-  entry.service = base::ServiceName(OwnerWorld::kService);
-  entry.rack = base::RackName("r0");
-  entry.capacity = {OwnerWorld::kCoresMillis, OwnerWorld::kMemoryMb,
-                    OwnerWorld::kAccelerators};
-  world.owner("vm1").PutWorker(entry);
+  WorkerRegistration registration;
+  registration.name = OwnerWorld::WorkerNameAt(0);
+  registration.service = base::ServiceName(OwnerWorld::kService);
+  registration.rack = base::RackName("r0");
+  registration.capacity = {OwnerWorld::kCoresMillis, OwnerWorld::kMemoryMb,
+                           OwnerWorld::kAccelerators};
+  world.owner("vm1").PutWorker(registration);
   for (int i = 0; i < 6; ++i) {
     world.Submit(OwnerWorld::MakeJob("new" + std::to_string(i), 1, 8));
   }
--- a/test/dispatch/owner_world.h
+++ b/test/dispatch/owner_world.h
@@ -65,17 +65,17 @@
 
   void AddWorker(int i) {
     constexpr int kRackSize = 4;
-    WorkerRegistration entry;
-    entry.name = WorkerNameAt(i);
-    entry.service = base::ServiceName(kService);
-    entry.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1 + i)};
-    entry.rack = base::RackName("r" + std::to_string(i / kRackSize));
-    entry.domain = DomainNameAt(i / kRackSize);
-    entry.labels = {"a", entry.rack.str()};
-    entry.capacity = {kCoresMillis, kMemoryMb, kAccelerators};
-    entries_[entry.name] = entry;
-    workers_.Add(entry);
-    for (const auto& [name, owner] : owners_) owner->PutWorker(entry);
+    WorkerRegistration registration;
+    registration.name = WorkerNameAt(i);
+    registration.service = base::ServiceName(kService);
+    registration.endpoint = {"10.0.0.1", static_cast<std::uint16_t>(1 + i)};
+    registration.rack = base::RackName("r" + std::to_string(i / kRackSize));
+    registration.domain = DomainNameAt(i / kRackSize);
+    registration.labels = {"a", registration.rack.str()};
+    registration.capacity = {kCoresMillis, kMemoryMb, kAccelerators};
+    registrations_[registration.name] = registration;
+    workers_.Add(registration);
+    for (const auto& [name, owner] : owners_) owner->PutWorker(registration);
   }
 
   /// Makes each worker that crashes restart after `downtime` under another
@@ -83,9 +83,9 @@
   void RestartCrashed(base::Duration downtime, bool changes_address = false) {
     workers_.on_crash = [this, downtime,
                          changes_address](const base::WorkerName& name) {
-      const auto entry = entries_.at(name);
-      time_.After(downtime, [this, entry, changes_address] {
-        Restart(entry, changes_address);
+      const auto registration = registrations_.at(name);
+      time_.After(downtime, [this, registration, changes_address] {
+        Restart(registration, changes_address);
       });
       constexpr base::Duration kRegistrationExpiry{4'500};
       time_.After(kRegistrationExpiry, [this, name] { Deregister(name); });
@@ -100,10 +100,10 @@
 
   /// The worker announces that it leaves, after `stays` at the earliest.
   void Drain(const base::WorkerName& name, base::Duration stays) {
-    auto& entry = entries_.at(name);
-    entry.is_draining = true;
-    entry.remaining_time = stays;
-    for (const auto& [unused, owner] : owners_) owner->PutWorker(entry);
+    auto& registration = registrations_.at(name);
+    registration.is_draining = true;
+    registration.remaining_time = stays;
+    for (const auto& [unused, owner] : owners_) owner->PutWorker(registration);
   }
 
   /// Time after a change of capacity until starts that exceed the new capacity
@@ -118,8 +118,8 @@
     workers_.SetCapacity(name, capacity, kCapacityGrace);
     current_capacities_[name] = capacity;
     time_.After(report_delay, [this, name] {
-      const auto it = entries_.find(name);
-      if (it == entries_.end()) return;
+      const auto it = registrations_.find(name);
+      if (it == registrations_.end()) return;
       it->second.capacity = current_capacities_.at(name);
       for (const auto& [vm, owner] : owners_) {
         if (observed_states_.at(vm).has_stale_registrations) continue;
@@ -141,7 +141,7 @@
 
   /// Removes the worker's registration. The worker itself is not stopped.
   void Deregister(const base::WorkerName& name) {
-    entries_.erase(name);
+    registrations_.erase(name);
     for (const auto& [unused, owner] : owners_) owner->RemoveWorker(name);
   }
 
@@ -179,8 +179,8 @@
 
   /// Passes all registered workers to the owner on VM `name`.
   void PutAllWorkers(const std::string& name) {
-    for (const auto& [unused, entry] : entries_) {
-      owners_.at(name)->PutWorker(entry);
+    for (const auto& [unused, registration] : registrations_) {
+      owners_.at(name)->PutWorker(registration);
     }
   }
 
@@ -291,20 +291,20 @@
     base::TimePoint registrations_read{};
   };
 
-  void Restart(WorkerRegistration entry, bool changes_address) {
-    const auto name = entry.name;
-    entry.name = base::WorkerName(name.str() + "'");
-    entry.is_draining = false;
-    entry.remaining_time.reset();
+  void Restart(WorkerRegistration registration, bool changes_address) {
+    const auto name = registration.name;
+    registration.name = base::WorkerName(name.str() + "'");
+    registration.is_draining = false;
+    registration.remaining_time.reset();
     constexpr std::uint16_t kPortOffset = 1'000;
-    if (changes_address) entry.endpoint.port += kPortOffset;
+    if (changes_address) registration.endpoint.port += kPortOffset;
     if (!changes_address) workers_.Supersede(name);
     // Each restart appends an apostrophe to the original name.
     const auto original = name.str().substr(0, name.str().find('\''));
-    current_names_[base::WorkerName(original)] = entry.name;
-    entries_[entry.name] = entry;
-    workers_.Add(entry);
-    for (const auto& [unused, owner] : owners_) owner->PutWorker(entry);
+    current_names_[base::WorkerName(original)] = registration.name;
+    registrations_[registration.name] = registration;
+    workers_.Add(registration);
+    for (const auto& [unused, owner] : owners_) owner->PutWorker(registration);
   }
 
   void SetEvacuated(int domain, bool is_evacuated) {
@@ -341,7 +341,7 @@
 
     fakes::BusyProcessor processor;
     fakes::BusyRowStore store;
-    fakes::BusyWorkerPort workers;
+    fakes::BusyWorkerClient workers;
   };
 
   fakes::VirtualTime time_;
@@ -351,7 +351,7 @@
   fakes::FakeTaskWorkers workers_;
   std::map<base::JobName, jobs::Job> jobs_;
   std::set<base::JobName> accepted_;
-  std::map<base::WorkerName, WorkerRegistration> entries_;
+  std::map<base::WorkerName, WorkerRegistration> registrations_;
   /// Current capacity of each worker whose capacity has changed; its
   /// registration may still show an earlier one.
   std::map<base::WorkerName, jobs::Resources> current_capacities_;
--- a/test/dispatch/placer_test.cc
+++ b/test/dispatch/placer_test.cc
@@ -13,11 +13,11 @@
 Fleet MakeFleet(int workers, int per_rack) {
   Fleet out;
   for (int i = 0; i < workers; ++i) {
-    WorkerRegistration entry;
-    entry.name = base::WorkerName("w" + std::to_string(i));
-    entry.rack = base::RackName("r" + std::to_string(i / per_rack));
-    entry.capacity = kWorker;
-    out.Put(entry);
+    WorkerRegistration registration;
+    registration.name = base::WorkerName("w" + std::to_string(i));
+    registration.rack = base::RackName("r" + std::to_string(i / per_rack));
+    registration.capacity = kWorker;
+    out.Put(registration);
   }
   for (auto& [name, worker] : out.workers()) worker.is_schedulable = true;
   return out;
--- a/test/dispatch/task_planner_test.cc
+++ b/test/dispatch/task_planner_test.cc
@@ -28,11 +28,11 @@
 
   PlannerFixture() {
     for (const auto* name : {"a0", "a1", "b0", "b1"}) {
-      WorkerRegistration entry;
-      entry.name = base::WorkerName(name);
-      entry.rack = base::RackName(std::string(1, name[0]));
-      entry.capacity = {64'000, 262'144, 8};
-      fleet.Put(entry);
+      WorkerRegistration registration;
+      registration.name = base::WorkerName(name);
+      registration.rack = base::RackName(std::string(1, name[0]));
+      registration.capacity = {64'000, 262'144, 8};
+      fleet.Put(registration);
     }
   }
 
--- a/testing/fakes/busy_processor.h
+++ b/testing/fakes/busy_processor.h
@@ -100,11 +100,11 @@
 
 /// Sends calls to workers over one link, where they are serialized and each
 /// takes time. Answers are queued on the caller's processor.
-class BusyWorkerPort final : public dispatch::WorkerClient {
+class BusyWorkerClient final : public dispatch::WorkerClient {
  public:
-  BusyWorkerPort(VirtualTime& time, BusyProcessor& processor,
-                 dispatch::WorkerClient& port)
-      : time_(time), processor_(processor), link_(time), port_(port) {}
+  BusyWorkerClient(VirtualTime& time, BusyProcessor& processor,
+                   dispatch::WorkerClient& client)
+      : time_(time), processor_(processor), link_(time), client_(client) {}
 
   /// Sets the time that each call takes on the link from now on; 0 by default.
   void SetLinkTime(base::Duration time) { link_.SetCost(time); }
@@ -114,7 +114,7 @@
              std::function<void(dispatch::StartResult)> done) override {
     SendOverLink<dispatch::StartResult>(
         timeout, std::move(done), [this, worker, order, timeout](auto answer) {
-          port_.Start(worker, order, timeout, answer);
+          client_.Start(worker, order, timeout, answer);
         });
   }
 
@@ -123,7 +123,7 @@
             std::function<void(dispatch::StopResult)> done) override {
     SendOverLink<dispatch::StopResult>(
         timeout, std::move(done), [this, worker, order, timeout](auto answer) {
-          port_.Stop(worker, order, timeout, answer);
+          client_.Stop(worker, order, timeout, answer);
         });
   }
 
@@ -132,7 +132,7 @@
             std::function<void(dispatch::PollResult)> done) override {
     SendOverLink<dispatch::PollResult>(
         timeout, std::move(done), [this, worker, order, timeout](auto answer) {
-          port_.Poll(worker, order, timeout, answer);
+          client_.Poll(worker, order, timeout, answer);
         });
   }
 
@@ -153,7 +153,7 @@
   VirtualTime& time_;
   BusyProcessor& processor_;
   BusyProcessor link_;
-  dispatch::WorkerClient& port_;
+  dispatch::WorkerClient& client_;
 };
 
 /// Forwards calls to the store; answers are queued on the caller's processor.
--- a/testing/fakes/fake_task_workers.cc
+++ b/testing/fakes/fake_task_workers.cc
@@ -38,7 +38,7 @@
 }  // namespace
 
 struct FakeTaskWorkers::Worker {
-  dispatch::WorkerRegistration entry;
+  dispatch::WorkerRegistration registration;
   bool is_alive = true;
   struct FormerCapacity {
     jobs::Resources capacity;
@@ -62,19 +62,19 @@
   std::optional<Duration> next_start_delay;
   bool is_hanging = false;
   bool is_failing = false;
-  struct Waiting {
+  struct PendingPoll {
     std::uint64_t after = 0;
     std::function<void(PollResult)> answer;
     bool is_answered = false;
   };
-  std::vector<std::shared_ptr<Waiting>> waiting;
+  std::vector<std::shared_ptr<PendingPoll>> pending_polls;
 };
 
 /// Delivers orders to workers and returns their answers, unless the owner is
 /// disconnected from the worker.
-class FakeTaskWorkers::Port final : public dispatch::WorkerClient {
+class FakeTaskWorkers::Client final : public dispatch::WorkerClient {
  public:
-  Port(FakeTaskWorkers& workers, std::string owner)
+  Client(FakeTaskWorkers& workers, std::string owner)
       : workers_(workers), owner_(std::move(owner)) {}
 
   void Start(const dispatch::WorkerAddress& address, StartOrder order,
@@ -90,32 +90,32 @@
           timeout, [done = std::move(done)] { done(NoAnswer{"late"}); });
       return;
     }
-    Carry<StartResult>(address.name, timeout, std::move(done),
-                       [this, order](Worker& it, auto answer) {
-                         answer(workers_.Start(it, order));
-                       });
+    Deliver<StartResult>(address.name, timeout, std::move(done),
+                         [this, order](Worker& it, auto answer) {
+                           answer(workers_.Start(it, order));
+                         });
   }
 
   void Stop(const dispatch::WorkerAddress& address, StopOrder order,
             Duration timeout, std::function<void(StopResult)> done) override {
-    Carry<StopResult>(address.name, timeout, std::move(done),
-                      [this, order](Worker& it, auto answer) {
-                        answer(workers_.Stop(it, order));
-                      });
+    Deliver<StopResult>(address.name, timeout, std::move(done),
+                        [this, order](Worker& it, auto answer) {
+                          answer(workers_.Stop(it, order));
+                        });
   }
 
   void Poll(const dispatch::WorkerAddress& address, PollOrder order,
             Duration timeout, std::function<void(PollResult)> done) override {
-    Carry<PollResult>(address.name, timeout, std::move(done),
-                      [this, order](Worker& it, auto answer) {
-                        workers_.Hold(it, order, answer);
-                      });
+    Deliver<PollResult>(address.name, timeout, std::move(done),
+                        [this, order](Worker& it, auto answer) {
+                          workers_.Poll(it, order, answer);
+                        });
   }
 
  private:
   template <typename Result, typename Execute>
-  void Carry(const WorkerName& name, Duration timeout,
-             std::function<void(Result)> done, Execute execute) {
+  void Deliver(const WorkerName& name, Duration timeout,
+               std::function<void(Result)> done, Execute execute) {
     auto is_finished = std::make_shared<bool>(false);
     const auto finish = [is_finished, done = std::move(done)](Result result) {
       if (std::exchange(*is_finished, true)) return;
@@ -143,13 +143,13 @@
 
 FakeTaskWorkers::~FakeTaskWorkers() = default;
 
-void FakeTaskWorkers::Add(const dispatch::WorkerRegistration& entry) {
+void FakeTaskWorkers::Add(const dispatch::WorkerRegistration& registration) {
   auto worker = std::make_unique<Worker>();
-  worker->entry = entry;
+  worker->registration = registration;
   constexpr WorkerTime kClockDistance = 77'000;
   worker->clock_offset =
       static_cast<WorkerTime>(workers_.size()) * kClockDistance;
-  workers_[entry.name] = std::move(worker);
+  workers_[registration.name] = std::move(worker);
 }
 
 void FakeTaskWorkers::SetCapacity(const WorkerName& name,
@@ -157,12 +157,12 @@
                                   Duration grace) {
   auto* worker = Find(name);
   worker->former_capacities.push_back(
-      {worker->entry.capacity, time_.Now() + grace});
-  worker->entry.capacity = capacity;
+      {worker->registration.capacity, time_.Now() + grace});
+  worker->registration.capacity = capacity;
 }
 
 jobs::Resources FakeTaskWorkers::CapacityLimit(const Worker& worker) const {
-  auto out = worker.entry.capacity;
+  auto out = worker.registration.capacity;
   for (const auto& it : worker.former_capacities) {
     if (it.grace_end <= time_.Now()) continue;
     out.cpu_millis = std::max(out.cpu_millis, it.capacity.cpu_millis);
@@ -216,9 +216,9 @@
 }
 
 dispatch::WorkerClient& FakeTaskWorkers::For(const std::string& owner) {
-  auto& port = ports_[owner];
-  if (!port) port = std::make_unique<Port>(*this, owner);
-  return *port;
+  auto& client = clients_[owner];
+  if (!client) client = std::make_unique<Client>(*this, owner);
+  return *client;
 }
 
 FakeTaskWorkers::Worker* FakeTaskWorkers::Find(const WorkerName& name) {
@@ -251,10 +251,10 @@
   RecordStart(worker, run);
   worker.running.push_back(run);
   BeginWork(worker, run);
-  if (on_start) on_start(worker.entry.name);
+  if (on_start) on_start(worker.registration.name);
   const auto crash = crash_after ? crash_after(order.task) : std::nullopt;
   if (crash) {
-    time_.After(*crash, [this, name = worker.entry.name, id = run.id] {
+    time_.After(*crash, [this, name = worker.registration.name, id = run.id] {
       const auto& running = Find(name)->running;
       const bool is_still_running =
           std::any_of(running.begin(), running.end(),
@@ -279,7 +279,7 @@
   for (const auto& it : worker.running) free_capacity -= needs(it.task);
   if (!free_capacity.Covers(needs(run.task))) {
     AddViolation("over capacity: " + TextOf(run.task) + " on " +
-                 worker.entry.name.str());
+                 worker.registration.name.str());
   }
 }
 
@@ -295,7 +295,7 @@
 /// Starts the work of a run. The run ends with kAlone if the rest of its gang
 /// is not running after kGangTimeout.
 void FakeTaskWorkers::BeginWork(Worker& worker, const Run& run) {
-  const auto name = worker.entry.name;
+  const auto name = worker.registration.name;
   const int size = gang_size ? gang_size(run.task) : 1;
   if (size > 1) {
     time_.After(kGangTimeout, [this, name, run] {
@@ -354,10 +354,10 @@
   worker.highest_ended_run[run.task] =
       std::max(worker.highest_ended_run[run.task], run.run);
   worker.ended.push_back({++worker.last_end, run.task, run.run, kind, ""});
-  auto waiting = std::exchange(worker.waiting, {});
-  for (const auto& hold : waiting) {
-    if (std::exchange(hold->is_answered, true)) continue;
-    hold->answer(NewsOf(worker, hold->after));
+  auto pending_polls = std::exchange(worker.pending_polls, {});
+  for (const auto& poll : pending_polls) {
+    if (std::exchange(poll->is_answered, true)) continue;
+    poll->answer(ReportOf(worker, poll->after));
   }
 }
 
@@ -368,7 +368,7 @@
       std::max(worker.highest_ended_run[order.task], order.run);
   for (const auto& it : worker.running) {
     if (it.task != order.task || it.run > order.run) continue;
-    time_.After(kStopTime, [this, name = worker.entry.name, id = it.id] {
+    time_.After(kStopTime, [this, name = worker.registration.name, id = it.id] {
       auto* found = Find(name);
       if (found->is_alive) EndRun(*found, id, TaskOutcome::kStopped);
     });
@@ -376,7 +376,7 @@
   return dispatch::Stopped{};
 }
 
-void FakeTaskWorkers::Hold(Worker& worker, const PollOrder& order,
+void FakeTaskWorkers::Poll(Worker& worker, const PollOrder& order,
                            std::function<void(PollResult)> answer) {
   if (order.epoch < worker.epoch) {
     return answer(Refused{RefusalReason::kStaleEpoch});
@@ -390,20 +390,20 @@
   });
   if (order.lease_expires_at) ExtendLease(worker, *order.lease_expires_at);
   if (!worker.ended.empty() || order.max_wait.count() == 0) {
-    return answer(NewsOf(worker, order.last_recorded_end));
+    return answer(ReportOf(worker, order.last_recorded_end));
   }
-  auto waiting = std::make_shared<Worker::Waiting>();
-  waiting->after = order.last_recorded_end;
-  waiting->answer = std::move(answer);
-  worker.waiting.push_back(waiting);
-  time_.After(order.max_wait, [this, name = worker.entry.name, waiting] {
-    if (std::exchange(waiting->is_answered, true)) return;
+  auto poll = std::make_shared<Worker::PendingPoll>();
+  poll->after = order.last_recorded_end;
+  poll->answer = std::move(answer);
+  worker.pending_polls.push_back(poll);
+  time_.After(order.max_wait, [this, name = worker.registration.name, poll] {
+    if (std::exchange(poll->is_answered, true)) return;
     auto* it = Find(name);
-    if (it->is_alive) waiting->answer(NewsOf(*it, waiting->after));
+    if (it->is_alive) poll->answer(ReportOf(*it, poll->after));
   });
 }
 
-WorkerReport FakeTaskWorkers::NewsOf(Worker& worker, std::uint64_t after) {
+WorkerReport FakeTaskWorkers::ReportOf(Worker& worker, std::uint64_t after) {
   WorkerReport out;
   out.worker_time = ClockOf(worker);
   for (const auto& it : worker.running) {
@@ -421,9 +421,10 @@
 void FakeTaskWorkers::ExtendLease(Worker& worker, WorkerTime expires) {
   const auto latest = ClockOf(worker) + kMaxLease.count();
   worker.expires = std::max(worker.expires, std::min(expires, latest));
-  time_.After(
-      Duration(worker.expires - ClockOf(worker)),
-      [this, name = worker.entry.name] { EndRunsIfLeaseExpired(*Find(name)); });
+  time_.After(Duration(worker.expires - ClockOf(worker)),
+              [this, name = worker.registration.name] {
+                EndRunsIfLeaseExpired(*Find(name));
+              });
 }
 
 void FakeTaskWorkers::EndRunsIfLeaseExpired(Worker& worker) {
--- a/testing/fakes/fake_task_workers.h
+++ b/testing/fakes/fake_task_workers.h
@@ -41,7 +41,7 @@
   /// Number of tasks in the gang of a task; 1 if it belongs to no gang.
   std::function<int(const jobs::TaskName&)> gang_size;
 
-  void Add(const dispatch::WorkerRegistration& entry);
+  void Add(const dispatch::WorkerRegistration& registration);
 
   /// Changes the worker's capacity. Starts that exceed a reduced one but fit
   /// the former one are violations only after `grace`.
@@ -51,7 +51,7 @@
   /// Terminates the worker's process with all its tasks; it does not restart.
   void Crash(const base::WorkerName& name);
 
-  /// Makes calls to a crashed worker report that a later process (OtherLife)
+  /// Makes calls to a crashed worker return OtherIncarnation: a later process
   /// answers at its address.
   void Supersede(const base::WorkerName& name);
 
@@ -72,7 +72,7 @@
   /// and runs that start there finish after 50 ms.
   void SetFailing(const base::WorkerName& name, bool is_failing);
 
-  /// Returns the port of one owner, valid as long as this object.
+  /// Returns the client of one owner, valid as long as this object.
   dispatch::WorkerClient& For(const std::string& owner);
 
   /// Violated invariants, in the order in which they were detected.
@@ -99,8 +99,8 @@
     base::Duration work_done{0};
   };
   struct Worker;
-  class Port;
-  friend class Port;
+  class Client;
+  friend class Client;
 
   Worker* Find(const base::WorkerName& name);
   bool IsDisconnected(const std::string& owner,
@@ -108,9 +108,9 @@
   dispatch::StartResult Start(Worker& worker,
                               const dispatch::StartOrder& order);
   dispatch::StopResult Stop(Worker& worker, const dispatch::StopOrder& order);
-  void Hold(Worker& worker, const dispatch::PollOrder& order,
+  void Poll(Worker& worker, const dispatch::PollOrder& order,
             std::function<void(dispatch::PollResult)> answer);
-  dispatch::WorkerReport NewsOf(Worker& worker, std::uint64_t after);
+  dispatch::WorkerReport ReportOf(Worker& worker, std::uint64_t after);
   void ExtendLease(Worker& worker, dispatch::WorkerTime expires);
   void EndRunsIfLeaseExpired(Worker& worker);
   void EndRun(Worker& worker, std::uint64_t id, dispatch::TaskOutcome kind);
@@ -131,7 +131,7 @@
 
   base::EventLoop& time_;
   std::map<base::WorkerName, std::unique_ptr<Worker>> workers_;
-  std::map<std::string, std::unique_ptr<Port>> ports_;
+  std::map<std::string, std::unique_ptr<Client>> clients_;
   std::set<std::pair<std::string, base::WorkerName>> disconnected_;
   std::map<jobs::TaskName, int> starts_;
   std::map<jobs::TaskName, int> crashes_;
