--- a/src/dispatch/owner_lease.cc
+++ b/src/dispatch/owner_lease.cc
@@ -128,8 +128,9 @@
   void RetryRelease(Epoch epoch, const std::function<void()>& done) {
     loop_.After(options_.retry_interval,
                 [weak = weak_from_this(), epoch, done] {
-                  if (const auto self = weak.lock())
+                  if (const auto self = weak.lock()) {
                     self->WriteRelease(epoch, done);
+                  }
                 });
   }
 
@@ -191,7 +192,9 @@
   /// The feed may be ahead of the answers to this holder's own renewals, so
   /// only the epoch shows that another process has taken the service.
   void CheckStillOwner() {
-    if (epoch_ && epoch_row_ > *epoch_) MarkLost("another process took it");
+    if (epoch_ && epoch_row_ > *epoch_) {
+      MarkLost("another process has acquired the lease");
+    }
   }
 
   base::Duration RandomDelay() {
@@ -203,8 +206,10 @@
   void ScheduleAcquire(base::Duration delay) {
     loop_.After(delay, [weak = weak_from_this(), measurement = measurement_] {
       const auto self = weak.lock();
-      if (self && self->measurement_ == measurement && self->is_measuring_age_)
+      if (self && self->measurement_ == measurement &&
+          self->is_measuring_age_) {
         self->TryAcquire();
+      }
     });
   }
 
@@ -227,8 +232,9 @@
                     if (!self) return;
                     --self->attempts_in_flight_;
                     const auto* committed = std::get_if<RowsCommitted>(&result);
-                    if (self->is_leaving_)
+                    if (self->is_leaving_) {
                       return self->ReleaseLateAcquisition(committed);
+                    }
                     if (committed == nullptr) return self->OnAcquireFailed();
                     self->OnAcquired(committed->version, attempt);
                   });
@@ -241,8 +247,9 @@
       return WriteRelease(committed->version,
                           std::exchange(on_attempts_answered_, nullptr));
     }
-    if (attempts_in_flight_ == 0)
+    if (attempts_in_flight_ == 0) {
       std::exchange(on_attempts_answered_, nullptr)();
+    }
   }
 
   /// The feed shows the present state whatever the reason of the failure, also
@@ -312,7 +319,7 @@
     }
     const auto* conflict = std::get_if<RowsConflict>(&result);
     if (conflict != nullptr && !IsStillOwner(conflict->present)) {
-      return MarkLost("another process took it");
+      return MarkLost("another process has acquired the lease");
     }
     ScheduleRenewal(conflict != nullptr ? base::Duration(0)
                                         : options_.retry_interval);
--- a/src/dispatch/service_loader.cc
+++ b/src/dispatch/service_loader.cc
@@ -38,8 +38,9 @@
   }
 
   void Start() {
-    for (std::size_t i = 0; i < partitions_.size(); ++i)
+    for (std::size_t i = 0; i < partitions_.size(); ++i) {
       Fence(i, store::kAbsent);
+    }
   }
 
  private:
@@ -71,7 +72,7 @@
     if (conflict->present.empty()) return Fence(partition, store::kAbsent);
     const auto& row = conflict->present.front();
     const auto other = std::strtoull(row.value.c_str(), nullptr, 10);
-    if (other > epoch_) return on_lost_("a later owner has fenced a part");
+    if (other > epoch_) return on_lost_("a later owner has fenced a partition");
     if (other < epoch_) return Fence(partition, row.version);
     // An earlier attempt was committed although its answer was lost.
     loaded_.fence_versions[partition] = row.version;
@@ -100,8 +101,9 @@
                 [weak = weak_from_this(), partition, from,
                  sent = loop_.Now()](RowsReadResult result) {
                   const auto self = weak.lock();
-                  if (self)
+                  if (self) {
                     self->OnPage(partition, from, sent, std::move(result));
+                  }
                 });
   }
 
--- a/src/dispatch/start_window.cc
+++ b/src/dispatch/start_window.cc
@@ -17,8 +17,9 @@
   late_count_ = 0;
   max_in_flight_ = 0;
   period_start_ = now;
-  if (late_share > options_.shrink_above_late_share)
+  if (late_share > options_.shrink_above_late_share) {
     return Resize(options_.shrink_factor);
+  }
   if (late_share < options_.grow_below_late_share && is_used) {
     return Resize(options_.growth_factor);
   }
@@ -26,10 +27,10 @@
 }
 
 bool StartWindow::Resize(double factor) {
-  const int wanted = static_cast<int>(size_ * factor);
-  const int before = size_;
-  size_ = std::clamp(wanted, options_.min_size, options_.max_size);
-  return size_ != before;
+  const int new_size = static_cast<int>(size_ * factor);
+  const int old_size = size_;
+  size_ = std::clamp(new_size, options_.min_size, options_.max_size);
+  return size_ != old_size;
 }
 
 }  // namespace lapishatch::dispatch::internal
